--- a/src/persimmonsail/jobs/eviction.py
+++ b/src/persimmonsail/jobs/eviction.py
@@ -1,29 +1,29 @@
-"""Which runs are stopped so that they go on elsewhere.
+"""Selection of runs that are stopped to resume elsewhere.
 
-Load patterns: instances are replaced one after the other under full
-load; and the load of what serves rises for seconds, so that best-effort
-tasks beside it stand still while others could take them.
+Load patterns: a rolling replacement of instances under full load; and load
+peaks of serving tasks that last for seconds and stall the best-effort tasks
+beside them while other instances have capacity.
 """
 
 import typing as t
 
 from persimmonsail.jobs import instances
 
-# Estimates are off by half either way in the worst queue.
-_ESTIMATE_FACTOR = 1.5
+# In the worst queue, estimates are off by half in either direction.
+_ESTIMATE_ERROR_FACTOR = 1.5
 _MILLISECONDS = 1000
-# A best-effort run that was kept below this pace for so long is better
-# off elsewhere, or in the queue: a peak of load lasts about 3 s, and to
-# stop and resume takes 0.3 to 1.0 s (emulator, 16 days: 0.76 of the heavy
-# jobs on time after 4 s, 0.79 after 2 s, 0.84 after this).
+# A best-effort run that was throttled below this speed for this long is
+# evicted: a load peak lasts about 3 s, while stopping and resuming takes 0.3
+# to 1.0 s (emulator, 16 days: 0.76 of the heavy jobs on time with 4 s, 0.79
+# with 2 s, 0.84 with this value).
 _SLOW_PERCENT = 25
 _SLOW_SECONDS = 0.7
-# Nearly done is not worth moving.
-_NEARLY_DONE = 92
+# A run with more progress than this is not worth moving.
+_NEARLY_DONE_PERCENT = 92
 
 
 def note_pace(run: instances.Run, percent: int, now: float) -> None:
-    """Note a run's new pace, and since when it has been slow."""
+    """Record a run's new speed limit, and since when it has been low."""
     run.pace = percent
     run.paced_at = now
     if percent >= _SLOW_PERCENT:
@@ -35,20 +35,21 @@
 def select_leaving(
     instance: instances.Instance, now: float
 ) -> list[instances.Run]:
-    """Return the runs of a leaving instance that can't stay.
+    """Return the runs to evict from an instance that is leaving.
 
-    What can finish before its instance goes stays, since stopping it
-    costs the work after its last checkpoint; all else is stopped at once
-    and resumes elsewhere from the checkpoint that the stop takes.
+    Runs that can finish before the instance goes stay, since stopping
+    one costs the work after its last checkpoint; all others are stopped
+    immediately and resume elsewhere from the checkpoint taken at the
+    stop.
     """
     if not instance.leaving:
         return []
-    remaining = instance.gone_at - now
+    remaining_seconds = instance.gone_at - now
     return [
         run
         for run in instance.runs.values()
         if run.phase is instances.RunPhase.RUNNING
-        and not _can_finish(run, remaining)
+        and not _can_finish(run, remaining_seconds)
     ]
 
 
@@ -57,17 +58,17 @@
     now: float,
     is_last: t.Callable[[instances.Run], bool],
 ) -> list[instances.Run]:
-    """Return best-effort runs that have stood still for too long.
+    """Return best-effort runs that have been throttled for too long.
 
     Parameters
     ----------
     instance : persimmonsail.jobs.instances.Instance
-        Where they run.
+        The instance that runs them.
     now : float
         Seconds of the leader's clock.
     is_last : callable
-        Tells whether a run is its job's only one; it stays, so that the
-        job goes on at all.
+        Tells whether a run is its job's only one; such a run stays, so
+        that the job makes progress.
     """
     return [
         run
@@ -76,13 +77,15 @@
         and run.step.checkpoints
         and run.slow_since
         and now - run.slow_since >= _SLOW_SECONDS
-        and run.percent < _NEARLY_DONE
+        and run.percent < _NEARLY_DONE_PERCENT
         and not is_last(run)
     ]
 
 
-def _can_finish(run: instances.Run, remaining: float) -> bool:
+def _can_finish(run: instances.Run, remaining_seconds: float) -> bool:
     if run.step.long_running:
         return False
-    left = run.step.estimate_ms * (100 - run.percent) / 100
-    return left * _ESTIMATE_FACTOR <= remaining * _MILLISECONDS
+    left_ms = run.step.estimate_ms * (100 - run.percent) / 100
+    return (
+        left_ms * _ESTIMATE_ERROR_FACTOR <= remaining_seconds * _MILLISECONDS
+    )
--- a/src/persimmonsail/jobs/gangs.py
+++ b/src/persimmonsail/jobs/gangs.py
@@ -1,12 +1,12 @@
-"""Gangs: tasks that work only together, and the room that they need.
+"""Gangs: tasks that only run together, and their reservations.
 
-Load pattern: single tasks come all the time and take each processor that
-another one leaves, so that the room for a whole gang is never free at
-once, however long the gang has waited. So after a while the room that
-becomes free is kept for it: whatever is less urgent waits, unless it has
-waited long itself. Room is only kept for a gang that fits once all has
-ended that ends by itself; a larger one would stop everybody else for
-nothing.
+Load pattern: single tasks arrive continuously and take every processor that
+becomes free, so the capacity for a complete gang is never free at once,
+however long the gang waits. After a delay, capacity that becomes free is
+therefore reserved for it: less urgent tasks wait, unless their job has been
+idle for long itself. Capacity is only reserved for a gang that fits once
+all runs that end by themselves have ended; a larger one would block all
+other tasks in vain.
 """
 
 import typing as t
@@ -16,16 +16,16 @@
 from persimmonsail.jobs import placement
 from persimmonsail.jobs import specification
 
-# A job whose gang has nothing running for so long has room kept for it.
-# Most gangs find room at once; a task of the shortest kind ends in about
-# this time and may leave what is missing.
-PATIENCE_SECONDS = 1.0
+# Capacity is reserved for a gang after its job has been idle for this long.
+# Most gangs are placed immediately; the shortest tasks take about this time,
+# and their end may free the missing capacity.
+_RESERVATION_DELAY_SECONDS = 1.0
 
 
 def list_members(task: job_module.Task, now: float) -> list[job_module.Task]:
-    """Return what has to be placed together; nothing if that can't be.
+    """Return the tasks to place together; none if that isn't possible.
 
-    The tasks of a gang wait for each other at their instances, but only
+    The tasks of a gang wait for each other on their instances, but only
     for seconds; while one of them is still being stopped, none starts.
     """
     if not task.step.gang:
@@ -37,18 +37,18 @@
     return members
 
 
-def needs_room_kept(
+def needs_reservation(
     members: t.Sequence[job_module.Task],
     fleet: t.Iterable[instances.Instance],
     service: str,
     now: float,
 ) -> bool:
-    """Tell whether less urgent tasks have to leave room to these.
+    """Tell whether capacity has to be reserved for a gang.
 
     Parameters
     ----------
     members : sequence of persimmonsail.jobs.job.Task
-        The tasks of one step that found no room together.
+        The tasks of one step that could not be placed together.
     fleet : iterable of persimmonsail.jobs.instances.Instance
         All instances.
     service : str
@@ -59,34 +59,34 @@
     if not members or not members[0].step.gang:
         return False
     idle_since = members[0].job.idle_since
-    if not idle_since or now - idle_since < PATIENCE_SECONDS:
+    if not idle_since or now - idle_since < _RESERVATION_DELAY_SECONDS:
         return False
-    places = sum(
-        _count_places(members[0].step, instance)
+    slots = sum(
+        _count_slots(members[0].step, instance)
         for instance in placement.list_usable(fleet, service, now)
     )
-    return places >= len(members)
+    return slots >= len(members)
 
 
-def _count_places(
+def _count_slots(
     step: specification.Step, instance: instances.Instance
 ) -> int:
-    """Return how many tasks fit beside what never ends by itself."""
+    """Return how many tasks fit beside the long-running ones."""
     if step.label and step.label not in instance.labels:
         return 0
-    room = instance.capacity
+    capacity = instance.capacity
     for run in instance.runs.values():
         if run.step.long_running:
-            room = room - run.step.committed
-    need = step.committed
+            capacity = capacity - run.step.committed
+    request = step.committed
     counts = [
-        has // wanted
-        for has, wanted in (
-            (room.millicores, need.millicores),
-            (room.memory_mib, need.memory_mib),
-            (room.accelerators, need.accelerators),
+        available // needed
+        for available, needed in (
+            (capacity.millicores, request.millicores),
+            (capacity.memory_mib, request.memory_mib),
+            (capacity.accelerators, request.accelerators),
         )
-        if wanted
+        if needed
     ]
     counts.append(step.most_per_instance or step.count)
     return max(0, min(counts))
--- a/src/persimmonsail/jobs/pace.py
+++ b/src/persimmonsail/jobs/pace.py
@@ -1,11 +1,11 @@
-"""How fast best-effort tasks may work beside tasks that serve.
-
-Load pattern: the load of a serving task swings within seconds, and with
-it what the best-effort tasks beside it may do. The learnt pressure of
-each pair of images gives the pace at which the target is just met; what
-hardly presses is slowed at the peak of a load only, and never by much.
-Where the target is missed all the same, what presses or may press stops
-working, and after some time everything beside.
+"""Throttling of best-effort tasks that are colocated with serving tasks.
+
+Load pattern: the load of a serving task varies within seconds, and with it
+the interference that it tolerates. The learned interference of each pair of
+images gives the speed limit at which the latency target is just met. Runs
+that hardly interfere are only throttled at load peaks, and only down to a
+floor. If the target is missed nevertheless, runs that interfere or may do
+so are paused, and after some time all best-effort runs on the instance.
 """
 
 import typing as t
@@ -13,32 +13,33 @@
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 
-# Each look at an instance may change a pace; there are two a second, and
-# more when runs end (emulator, 16 days: 0.83 of the heavy jobs on time
-# with 0.6, 0.85 with this, and an eighth less time over the targets).
-_PERIOD_SECONDS = 0.4
-# Over the target for so long, everything beside it stops working, whatever
-# was learnt: the next look and the worker's own delay stay below the 4 s
-# that are promised. If the target is missed with all of it stopped, it was
-# not the cause.
+# Minimum time between changes of a run's limit. Reports arrive twice a
+# second, and more often when runs end (emulator, 16 days: 0.83 of the heavy
+# jobs on time with 0.6, 0.85 with this, and an eighth less time over the
+# targets).
+_MIN_CHANGE_INTERVAL_SECONDS = 0.4
+# Once a target has been missed for this long, all best-effort runs on the
+# instance are paused, whatever was learned: with the next report and the
+# worker's delay, this stays below the guaranteed 4 s. If the target is still
+# missed after the second time, they were not the cause.
 _STOP_ALL_SECONDS = 1.8
-_NOT_THE_CAUSE_SECONDS = 5.0
-# Smaller changes are not worth an order.
-_LEAST_CHANGE = 0.2
-_LEAST_PERCENT = 4
-# What hardly presses is slowed no further: it does most of the work (with
-# 10, 0.34 of the heavy jobs were on time instead of 0.83).
+_RESUME_AFTER_SECONDS = 5.0
+# Smaller relative changes are not worth an order; lower limits become 0.
+_MIN_CHANGE = 0.2
+_MIN_PERCENT = 4
+# Floor for runs that hardly interfere, which do most of the work (with 10,
+# 0.34 of the heavy jobs were on time instead of 0.83).
 _LIGHT_PERCENT = 40
-# A pace rises by no more than this factor, or from nothing to this.
+# A limit rises by at most this factor, or from 0 to this percentage.
 _FASTEST_RISE = 3.0
-_FIRST_PERCENT = 15
+_INITIAL_RISE_PERCENT = 15
 
 
-_Press = t.Callable[[str, str], float]
+_GetCoefficient = t.Callable[[str, str], float]
 
 
 class Change(t.NamedTuple):
-    """A run's new pace, in percent."""
+    """A run's new speed limit, in percent of full speed."""
 
     run: instances.Run
     percent: int
@@ -47,121 +48,128 @@
 def decide(
     instance: instances.Instance, model: interference.Model, now: float
 ) -> list[Change]:
-    """Return the runs of an instance whose pace has to change.
+    """Return the changed speed limits of an instance's runs.
 
     Parameters
     ----------
     instance : persimmonsail.jobs.instances.Instance
-        With gauges from its latest report.
+        The instance, with gauges from its latest report.
     model : persimmonsail.jobs.interference.Model
-        What is known of the images.
+        Learned interference between images.
     now : float
         Seconds of the leader's clock.
     """
-    fillers = [
+    best_effort = [
         run
         for run in instance.fillers
         if run.phase is instances.RunPhase.RUNNING
     ]
-    if not fillers:
+    if not best_effort:
         return []
-    paces = _share(fillers, instance, model, now, model.get_least)
+    limits = _allocate(best_effort, instance, model, now, model.get_least)
     changes = []
-    for run, allowed in zip(fillers, paces, strict=True):
-        if now - run.paced_at < _PERIOD_SECONDS:
+    for run, allowed in zip(best_effort, limits, strict=True):
+        if now - run.paced_at < _MIN_CHANGE_INTERVAL_SECONDS:
             continue
         percent = _limit_rise(run.pace, allowed)
-        if _is_worth_an_order(run.pace, percent):
+        if _is_significant(run.pace, percent):
             changes.append(Change(run, percent))
     return changes
 
 
-def choose_first_percent(
+def choose_initial_percent(
     run: instances.Run,
     instance: instances.Instance,
     model: interference.Model,
     now: float,
 ) -> int:
-    """Return the pace at which a run begins on an instance."""
-    fillers = [*instance.fillers, run]
-    cautious = _share(fillers, instance, model, now, model.get_bound)
-    return round(cautious[-1])
+    """Return the speed limit with which a run starts."""
+    best_effort = [*instance.fillers, run]
+    safe_limits = _allocate(best_effort, instance, model, now, model.get_bound)
+    return round(safe_limits[-1])
 
 
-def _share(
-    fillers: t.Sequence[instances.Run],
+def _allocate(
+    best_effort: t.Sequence[instances.Run],
     instance: instances.Instance,
     model: interference.Model,
     now: float,
-    press: _Press,
+    get_coefficient: _GetCoefficient,
 ) -> list[float]:
-    """Return the pace of each run at which every target is met.
+    """Return a speed limit for each run so that every target is met.
 
-    What a serving task bears goes to the runs whose jobs are due first:
-    shared alike, all of them would be late.
+    The tolerable interference is given to the runs whose jobs are due
+    first: with equal shares, all of them would be late.
     """
-    paces = [100.0] * len(fillers)
-    ranked = sorted(range(len(fillers)), key=lambda i: _rank(fillers[i], now))
+    limits = [100.0] * len(best_effort)
+    ranked = sorted(
+        range(len(best_effort)),
+        key=lambda i: _order_by_deadline(best_effort[i], now),
+    )
     for serving in instance.serving:
         if serving.phase is not instances.RunPhase.RUNNING:
             continue
-        room = _measure_room(serving, instance.address, model, now)
-        needs = _measure_needs(fillers, serving, instance, press)
-        blamed = _blame(fillers, serving, model, now, press)
-        light = [i for i in ranked if i not in blamed]
-        left = _slow_light(paces, light, needs, room, model)
+        headroom = _measure_headroom(serving, instance.address, model, now)
+        demands = _estimate_interference(
+            best_effort, serving, instance, get_coefficient
+        )
+        interfering = _find_interfering(
+            best_effort, serving, model, now, get_coefficient
+        )
+        light = [i for i in ranked if i not in interfering]
+        remaining = _throttle_light(limits, light, demands, headroom, model)
         for i in ranked:
-            if i not in blamed:
+            if i not in interfering:
                 continue
-            part = min(left / needs[i], 1.0) if needs[i] else 1.0
-            # A missed target leaves nothing, whatever was learnt.
-            bound = 0.0 if serving.over_since else 100.0
-            paces[i] = min(paces[i], 100 * part, bound)
-            left -= part * needs[i]
-    return paces
+            share = min(remaining / demands[i], 1.0) if demands[i] else 1.0
+            # After a missed target nothing is tolerable, whatever was learned.
+            ceiling = 0.0 if serving.over_since else 100.0
+            limits[i] = min(limits[i], 100 * share, ceiling)
+            remaining -= share * demands[i]
+    return limits
 
 
-def _slow_light(
-    paces: list[float],
+def _throttle_light(
+    limits: list[float],
     light: t.Sequence[int],
-    needs: t.Sequence[float],
-    room: float,
+    demands: t.Sequence[float],
+    headroom: float,
     model: interference.Model,
 ) -> float:
-    """Slow what hardly presses, if all of it is too much together.
+    """Throttle light runs if their combined interference is too high.
 
     Parameters
     ----------
-    paces : list of float
-        Changed in place.
+    limits : list of float
+        The runs' speed limits; changed in place.
     light : sequence of int
-        Which runs.
-    needs : sequence of float
-        With how much each run presses at full speed.
-    room : float
-        What the serving task bears.
+        Indices of the runs that hardly interfere.
+    demands : sequence of float
+        The interference of each run at full speed.
+    headroom : float
+        The interference that the serving task tolerates.
     model : persimmonsail.jobs.interference.Model
-        What is known of the images.
+        Learned interference between images.
 
     Returns
     -------
     float
-        What is left for the other runs; never below 0.
+        The headroom left for the other runs; never below 0.
     """
-    need = sum(needs[i] for i in light)
-    bearable = room + model.estimate_doubt()
-    if need > bearable:
-        percent = max(100 * bearable / need, _LIGHT_PERCENT)
+    total = sum(demands[i] for i in light)
+    tolerable = headroom + model.estimate_doubt()
+    if total > tolerable:
+        percent = max(100 * tolerable / total, _LIGHT_PERCENT)
         for i in light:
-            paces[i] = min(paces[i], percent)
-    return max(room - need, 0.0)
+            limits[i] = min(limits[i], percent)
+    return max(headroom - total, 0.0)
 
 
-def _rank(run: instances.Run, now: float) -> tuple[bool, float]:
+def _order_by_deadline(run: instances.Run, now: float) -> tuple[bool, float]:
     return (run.due < now, run.due)
 
 
-def _measure_room(
+def _measure_headroom(
     serving: instances.Run,
     address: str,
     model: interference.Model,
@@ -172,59 +180,59 @@
     return max(limit - load, 0.0)
 
 
-def _measure_needs(
-    fillers: t.Sequence[instances.Run],
+def _estimate_interference(
+    best_effort: t.Sequence[instances.Run],
     serving: instances.Run,
     instance: instances.Instance,
-    press: _Press,
+    get_coefficient: _GetCoefficient,
 ) -> list[float]:
-    """Return with how much each run presses at full speed."""
+    """Return the interference of each run at full speed."""
     capacity = max(instance.capacity.millicores, 1)
     return [
-        press(serving.step.image, run.step.image)
+        get_coefficient(serving.step.image, run.step.image)
         * run.step.size.millicores
         / capacity
-        for run in fillers
+        for run in best_effort
     ]
 
 
-def _blame(
-    fillers: t.Sequence[instances.Run],
+def _find_interfering(
+    best_effort: t.Sequence[instances.Run],
     serving: instances.Run,
     model: interference.Model,
     now: float,
-    press: _Press,
+    get_coefficient: _GetCoefficient,
 ) -> set[int]:
-    """Return which runs have to give way to a serving one.
+    """Return the indices of the runs that interfere with a serving run.
 
-    Where nothing known presses and the target is missed all the same,
-    everything beside is held responsible.
+    If the target is missed although no run is known to interfere, all
+    runs are considered responsible.
     """
     image = serving.step.image
-    over = now - serving.over_since if serving.over_since else 0.0
-    # While all is well, a doubt slows nobody down.
+    over_seconds = now - serving.over_since if serving.over_since else 0.0
+    # While the target is met, uncertainty alone throttles no run.
     missed = bool(serving.over_since)
-    measure = model.get_bound if missed else press
-    pressing = {
+    estimate = model.get_bound if missed else get_coefficient
+    known = {
         i
-        for i, run in enumerate(fillers)
-        if measure(image, run.step.image) >= model.get_threshold()
+        for i, run in enumerate(best_effort)
+        if estimate(image, run.step.image) >= model.get_threshold()
     }
-    stop_all = _STOP_ALL_SECONDS <= over < _NOT_THE_CAUSE_SECONDS
-    if stop_all or (over and not pressing):
-        return set(range(len(fillers)))
-    return pressing
+    stop_all = _STOP_ALL_SECONDS <= over_seconds < _RESUME_AFTER_SECONDS
+    if stop_all or (over_seconds and not known):
+        return set(range(len(best_effort)))
+    return known
 
 
-def _limit_rise(before: int, allowed: float) -> int:
-    highest = max(before * _FASTEST_RISE, _FIRST_PERCENT)
-    percent = round(min(allowed, highest))
-    return percent if percent >= _LEAST_PERCENT else 0
+def _limit_rise(current: int, allowed: float) -> int:
+    max_percent = max(current * _FASTEST_RISE, _INITIAL_RISE_PERCENT)
+    percent = round(min(allowed, max_percent))
+    return percent if percent >= _MIN_PERCENT else 0
 
 
-def _is_worth_an_order(before: int, after: int) -> bool:
-    if after == before:
+def _is_significant(current: int, wanted: int) -> bool:
+    if wanted == current:
         return False
-    if after in (0, 100) or before == 0:
+    if wanted in (0, 100) or current == 0:
         return True
-    return abs(after - before) > _LEAST_CHANGE * before
+    return abs(wanted - current) > _MIN_CHANGE * current
--- a/src/persimmonsail/jobs/placement.py
+++ b/src/persimmonsail/jobs/placement.py
@@ -1,13 +1,14 @@
-"""Which instance a task runs on.
+"""Selection of the instance that a task runs on.
 
 Load pattern: serving tasks declare most of the fleet's processors and
-use a part of them; heavy best-effort tasks take what is left and disturb
-some of the images that serve, so much that one or two of them fill a
-serving task at the peak of its load. An instance where only one image
-serves can take most best-effort images at full speed, one with five images
-almost none; so serving tasks are placed beside their own image, and
-best-effort tasks where they disturb nothing, by what is known of the pairs
-and some of the doubt about them. A short task goes where most is unused.
+use part of them; heavy best-effort tasks use the rest and interfere with
+some serving images, so strongly that one or two of them use up a serving
+task's headroom at peak load. An instance that serves only one image can
+run most best-effort images at full speed, one with five images almost
+none. So serving tasks are colocated with their own image, and best-effort
+tasks are placed where they don't interfere, by the learned coefficient of
+each pair plus a share of its uncertainty. A short task goes to the instance
+with the most unused processors.
 """
 
 import typing as t
@@ -20,35 +21,35 @@
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import suspects
 
-# A best-effort task waits for an instance where it would work at least
-# at this part of its speed; on a worse one it stays for longer than the
-# wait for a better one takes.
+# A best-effort task waits for an instance that allows at least this fraction
+# of its full speed: a slower one costs more time than the wait.
 LEAST_SPEED = 0.95
-# An instance whose worker's agent has not answered its sidecar for so
-# long gets no new work; it is asked twice a second.
-_SILENT_SECONDS = 0.7
+# An instance gets no new work once its worker's agent, which the sidecar
+# polls twice a second, has not answered for this long.
+_MAX_SILENCE_SECONDS = 0.7
 
-# One that has been silent for longer is not waited for as a witness.
-_GONE_SECONDS = 10.0
+# An instance that has been silent for longer is not awaited as a witness.
+_WITNESS_TIMEOUT_SECONDS = 10.0
 
-_ALL = slice(None)
+_ALL_ROWS = slice(None)
 
 
 class Candidates:
-    """Where the tasks of one step may run, for a part of one round.
+    """The instances that may run the tasks of one step, in one round.
 
     Parameters
     ----------
     places : persimmonsail.jobs.places.Places
-        The fleet, as it was refreshed for this round.
+        The fleet snapshot, refreshed for this round.
     step : persimmonsail.jobs.specification.Step
         The step.
     step_name : str
-        Names job, occurrence and step.
+        Identifies job, occurrence and step.
     usable : numpy.ndarray
-        Which instances of its service get new work; shape (instances,).
+        Mask of the service's instances that accept new work; shape
+        (instances,).
     boots : collection of str, optional
-        The only boots that may run the step.
+        If given, only these boots may run the step.
     """
 
     def __init__(
@@ -71,59 +72,59 @@
             self._allowed = self._allowed & [
                 instance.boot in boots for instance in places.fleet
             ]
-        self._fits = self._allowed & self._check_room(_ALL)
-        self._speeds = self._estimate_speeds(_ALL)
+        self._fits = self._allowed & self._check_capacity(_ALL_ROWS)
+        self._speeds = self._estimate_speeds(_ALL_ROWS)
 
     def choose(
         self,
         avoid: t.Collection[str] = (),
-        least_speed: float = LEAST_SPEED,
+        min_speed: float = LEAST_SPEED,
         rack: str | None = None,
         suspect: bool = False,
     ) -> instances.Instance | None:
-        """Return the best instance that has room for a task, or nothing.
+        """Return the best instance with capacity for a task, if any.
 
         Parameters
         ----------
         avoid : collection of str
-            Addresses that are only taken if there is no other.
-        least_speed : float
-            At which part of its speed a best-effort task has to work.
+            Addresses that are only used if there is no other.
+        min_speed : float
+            Minimum speed of a best-effort task, as a fraction of full speed.
         rack : str, optional
-            The only rack to look at.
+            If given, only this rack is considered.
         suspect : bool, optional
-            Whether crashes are held against the task: beside another such
-            task, one more crash would not tell which of them it was.
+            Whether the task is a crash suspect: a crash could not be
+            attributed if two suspects were colocated.
         """
         fleet = self._places.fleet
-        left = self._fits.copy()
+        remaining = self._fits.copy()
         if self._step.best_effort_cpu:
-            left &= self._speeds >= least_speed
+            remaining &= self._speeds >= min_speed
         if rack is not None:
-            left &= [instance.rack == rack for instance in fleet]
-        if not left.any():
+            remaining &= [instance.rack == rack for instance in fleet]
+        if not remaining.any():
             return None
         if avoid:
             avoided = [instance.address in avoid for instance in fleet]
-            left = _keep_least(left, numpy.array(avoided))
+            remaining = _filter_lowest(remaining, numpy.array(avoided))
         if suspect:
             suspects = [instance.suspects for instance in fleet]
-            left = _keep_least(left, numpy.array(suspects))
+            remaining = _filter_lowest(remaining, numpy.array(suspects))
         if self._step.data_rack:
             rack = self._step.data_rack
             remote = [instance.rack != rack for instance in fleet]
-            left = _keep_least(left, numpy.array(remote))
+            remaining = _filter_lowest(remaining, numpy.array(remote))
         for score in self._list_scores():
-            left = _keep_least(left, score)
-        return fleet[int(left.argmax())]
+            remaining = _filter_lowest(remaining, score)
+        return fleet[int(remaining.argmax())]
 
-    def choose_apart(
+    def choose_isolated(
         self, avoid: t.Collection[str], now: float
     ) -> instances.Instance | None:
-        """Return where a suspect is apart, and least is lost with it."""
+        """Return the instance where a crash of a suspect costs least."""
         fleet = self._places.fleet
-        left = self._fits
-        if not left.any():
+        remaining = self._fits
+        if not remaining.any():
             return None
         for score in (
             [instance.address in avoid for instance in fleet],
@@ -131,30 +132,30 @@
             [instance.suspects for instance in fleet],
             [len(instance.runs) for instance in fleet],
         ):
-            left = _keep_least(left, numpy.array(score))
-        return fleet[int(left.argmax())]
+            remaining = _filter_lowest(remaining, numpy.array(score))
+        return fleet[int(remaining.argmax())]
 
     def list_racks(self) -> list[str]:
         """Return the racks of the instances that may run the step."""
         allowed = zip(self._places.fleet, self._allowed, strict=True)
         return sorted({instance.rack for instance, may in allowed if may})
 
-    def note_change(self, instance: instances.Instance) -> None:
-        """Rate an instance again whose runs have changed."""
+    def update_instance(self, instance: instances.Instance) -> None:
+        """Rate an instance again after its runs have changed."""
         row = self._places.find_row(instance)
         rows = slice(row, row + 1)
         self._places.read(row)
-        self._fits[rows] = self._allowed[rows] & self._check_room(rows)
+        self._fits[rows] = self._allowed[rows] & self._check_capacity(rows)
         self._speeds[rows] = self._estimate_speeds(rows)
 
-    def _check_room(self, rows: slice) -> numpy.ndarray:
-        need = self._step.committed
-        size = (need.millicores, need.memory_mib, need.accelerators)
-        fits = (self._places.free[rows] >= size).all(axis=1)
-        most = self._step.most_per_instance
-        if most:
+    def _check_capacity(self, rows: slice) -> numpy.ndarray:
+        size = self._step.committed
+        request = (size.millicores, size.memory_mib, size.accelerators)
+        fits = (self._places.free[rows] >= request).all(axis=1)
+        limit = self._step.most_per_instance
+        if limit:
             fits &= [
-                instance.count_step(self._step_name) < most
+                instance.count_step(self._step_name) < limit
                 for instance in self._places.fleet[rows]
             ]
         return fits
@@ -165,32 +166,34 @@
         return self._places.estimate_speeds(self._step, rows)
 
     def _list_scores(self) -> list[numpy.ndarray]:
-        """Return what decides, the lower the better, first things first."""
+        """Return the scores, most significant first; lower is better."""
         places = self._places
         if self._step.best_effort_cpu:
             return [-self._speeds, -places.unused]
         if not self._step.latency_target_ms:
             return [-places.unused]
         column = places.find_image(self._step.image)
-        others = places.images - places.has_image[:, column]
-        empty = places.images == 0
-        return [others, empty, numpy.where(empty, places.capacity, 0)]
+        other_images = places.image_counts - places.has_image[:, column]
+        empty = places.image_counts == 0
+        return [other_images, empty, numpy.where(empty, places.capacity, 0)]
 
 
-def _keep_least(left: numpy.ndarray, score: numpy.ndarray) -> numpy.ndarray:
-    """Return which of some rows have the lowest score of them."""
-    return left & (score == score[left].min())
+def _filter_lowest(
+    remaining: numpy.ndarray, score: numpy.ndarray
+) -> numpy.ndarray:
+    """Return the mask of the remaining rows with the lowest score."""
+    return remaining & (score == score[remaining].min())
 
 
 def find_usable(
     fleet: t.Iterable[instances.Instance], service: str, now: float
 ) -> numpy.ndarray:
-    """Return which instances of a service get new work at all.
+    """Return which instances of a service accept new work.
 
     Returns
     -------
     numpy.ndarray
-        A truth value for each instance; shape (instances,).
+        A mask of the fleet; shape (instances,).
     """
     return numpy.array(
         [
@@ -204,9 +207,10 @@
 def find_cleared(
     fleet: t.Iterable[instances.Instance], suspect: str, now: float
 ) -> instances.Instance | None:
-    """Return the instance on which a suspect is to be tried next, if any."""
+    """Return the instance that is reserved for a suspect, if any."""
     for instance in fleet:
-        # Few are cleared, and each suspect asks for all in each round.
+        # Cheap check first: few instances are reserved, and every suspect
+        # searches the whole fleet in every round.
         if not instance.is_cleared_for(suspect, now):
             continue
         if is_usable(instance, now, suspect):
@@ -215,17 +219,19 @@
 
 
 def has_witness(
-    fleet: t.Iterable[instances.Instance], tried: instances.Instance
+    fleet: t.Iterable[instances.Instance], candidate: instances.Instance
 ) -> bool:
-    """Tell whether a suspect's crash could be told from a loss of power.
+    """Tell whether a crash could be distinguished from a power failure.
 
-    Another instance has to live through it. Where there is no other, or none
-    that may be back soon, none is needed.
+    That takes another instance that survives it. None is needed if there is
+    no other instance, or none that may return soon.
     """
-    others = [one for one in fleet if one is not tried and one.attached]
-    awaited = [one for one in others if one.silent_seconds < _GONE_SECONDS]
+    others = [one for one in fleet if one is not candidate and one.attached]
+    awaited = [
+        one for one in others if one.silent_seconds < _WITNESS_TIMEOUT_SECONDS
+    ]
     answering = [
-        one for one in awaited if one.silent_seconds < _SILENT_SECONDS
+        one for one in awaited if one.silent_seconds < _MAX_SILENCE_SECONDS
     ]
     return bool(answering) or not awaited
 
@@ -233,7 +239,7 @@
 def list_usable(
     fleet: t.Iterable[instances.Instance], service: str, now: float
 ) -> list[instances.Instance]:
-    """Return the instances of a service that get new work at all."""
+    """Return the instances of a service that accept new work."""
     return [
         instance
         for instance in fleet
@@ -247,7 +253,7 @@
     service: str,
     now: float,
 ) -> list[instances.Instance]:
-    """Return the instances of a service that may start a task now."""
+    """Return the instances of a service that can start a task now."""
     return [
         instance
         for instance in list_usable(fleet, service, now)
@@ -258,14 +264,14 @@
 def is_usable(
     instance: instances.Instance, now: float, suspect: str = ''
 ) -> bool:
-    """Tell whether an instance gets new work at all, or this suspect."""
+    """Tell whether an instance accepts new work, or this suspect."""
     return (
         instance.attached
         and instance.reported
         and bool(instance.boot)
         and not instance.leaving
         and instance.known
-        and instance.silent_seconds < _SILENT_SECONDS
+        and instance.silent_seconds < _MAX_SILENCE_SECONDS
         and now >= instance.suspect_until
         and (
             instance.is_cleared_for(suspect, now)
@@ -275,7 +281,7 @@
 
 
 def has_room(task: job_module.Task, instance: instances.Instance) -> bool:
-    """Tell whether a task may be started on an instance."""
+    """Tell whether an instance has capacity for a task."""
     step = task.step
     if step.label and step.label not in instance.labels:
         return False
--- a/src/persimmonsail/jobs/placer.py
+++ b/src/persimmonsail/jobs/placer.py
@@ -1,4 +1,4 @@
-"""Runs of one step's tasks, placed one after the other in a round."""
+"""Placement of one step's tasks within a scheduling round."""
 
 import dataclasses
 import typing as t
@@ -10,15 +10,15 @@
 from persimmonsail.jobs import placement
 from persimmonsail.jobs import suspects
 
-# Higher than the number of any orders: no report can have seen them.
+# Above any order number, so no report can acknowledge it.
 _NOT_SENT = 1 << 62
 
 
 @dataclasses.dataclass(frozen=True)
 class Claim:
-    """A run that was placed and has to be committed, then ordered.
+    """A placed run that has to be committed and then started.
 
-    ``ticket`` is the advisor's permission, where the queue has one.
+    ``ticket`` is the advisor's permit if the queue is advised.
     """
 
     task: job_module.Task
@@ -28,19 +28,19 @@
 
 
 class Placer:
-    """Places the tasks of one step, one after the other.
+    """Places the tasks of one step.
 
     Parameters
     ----------
     candidates : persimmonsail.jobs.placement.Candidates
-        Where they may run.
+        The instances that may run them.
     model : persimmonsail.jobs.interference.Model
-        What is known of the images.
-    now, due : float
-        The time, and when the job's objective is missed; seconds of the
-        leader's clock.
-    tickets : mapping of str to str
-        The advisor's permissions, by boot.
+        Learned interference between images.
+    now, deadline : float
+        The current time and the end of the job's objective; seconds of
+        the leader's clock.
+    permits : mapping of str to str
+        The advisor's permits, by boot.
     """
 
     def __init__(
@@ -48,67 +48,69 @@
         candidates: placement.Candidates,
         model: interference.Model,
         now: float,
-        due: float,
-        tickets: t.Mapping[str, str],
+        deadline: float,
+        permits: t.Mapping[str, str],
     ) -> None:
         self._candidates = candidates
         self._model = model
         self._now = now
-        self._due = due
-        self._tickets = tickets
+        self._deadline = deadline
+        self._permits = permits
 
     def place(
-        self, tasks: t.Sequence[job_module.Task], least_speed: float
+        self, tasks: t.Sequence[job_module.Task], min_speed: float
     ) -> list[Claim]:
-        """Find room for all of these tasks, or for none of them."""
+        """Place all of these tasks, or none of them."""
         if not tasks:
             return []
         if tasks[0].step.same_rack and len(tasks) > 1:
             for rack in self._candidates.list_racks():
-                claims = self._try(tasks, least_speed, rack)
+                claims = self._try_place(tasks, min_speed, rack)
                 if claims:
                     return claims
-        return self._try(tasks, least_speed)
+        return self._try_place(tasks, min_speed)
 
-    def choose_apart(self, task: job_module.Task) -> instances.Instance | None:
-        """Find an instance where a suspect is apart from others."""
-        return self._candidates.choose_apart(task.avoid, self._now)
+    def choose_isolated(
+        self, task: job_module.Task
+    ) -> instances.Instance | None:
+        """Return an instance on which a suspect can be isolated."""
+        return self._candidates.choose_isolated(task.avoid, self._now)
 
-    def place_apart(
+    def place_isolated(
         self, task: job_module.Task, instance: instances.Instance
     ) -> Claim:
-        """Place a suspect where nothing else began just now, or will."""
+        """Place a suspect and block other starts beside it for a while."""
         claim = self._add_run(task, 1 + task.state.run, instance)
         suspects.keep_apart(task, claim.run, instance)
         return claim
 
-    def _try(
+    def _try_place(
         self,
         tasks: t.Sequence[job_module.Task],
-        least_speed: float,
+        min_speed: float,
         rack: str | None = None,
     ) -> list[Claim]:
         number = 1 + max(task.state.run for task in tasks)
-        # What one member of a gang has saved is valid for all of them, and
-        # all have to resume from the same.
-        saved = [t.state.checkpoint for t in tasks if t.state.checkpoint]
+        # A checkpoint of one gang member is valid for all members, and all
+        # of them have to resume from the same one.
+        checkpoints = [t.state.checkpoint for t in tasks if t.state.checkpoint]
         claims: list[Claim] = []
         for task in tasks:
             instance = self._candidates.choose(
-                task.avoid, least_speed, rack, task.is_suspect
+                task.avoid, min_speed, rack, task.is_suspect
             )
             if instance is None:
-                self._withdraw(claims)
+                self._roll_back(claims)
                 return []
             claims.append(self._add_run(task, number, instance))
         for task in tasks:
-            task.state.checkpoint = saved[0] if saved else ''
+            task.state.checkpoint = checkpoints[0] if checkpoints else ''
         return claims
 
-    def _withdraw(self, claims: t.Sequence[Claim]) -> None:
+    def _roll_back(self, claims: t.Sequence[Claim]) -> None:
         for claim in claims:
             claim.instance.drop_run((claim.run.task, claim.run.number))
-            self._candidates.note_change(claim.instance)
+            self._candidates.update_instance(claim.instance)
 
     def _add_run(
         self,
@@ -124,15 +126,15 @@
             queue=task.job.queue,
             order=_NOT_SENT,
             ordered_at=self._now,
-            due=self._due,
+            due=self._deadline,
             suspect=task.is_suspect,
         )
         if task.step.best_effort_cpu:
-            run.pace = pace.choose_first_percent(
+            run.pace = pace.choose_initial_percent(
                 run, instance, self._model, self._now
             )
             run.paced_at = self._now
         instance.add_run(run)
-        self._candidates.note_change(instance)
-        ticket = self._tickets.get(instance.boot, '')
-        return Claim(task, run, instance, ticket)
+        self._candidates.update_instance(instance)
+        permit = self._permits.get(instance.boot, '')
+        return Claim(task, run, instance, permit)
--- a/src/persimmonsail/jobs/scheduling.py
+++ b/src/persimmonsail/jobs/scheduling.py
@@ -1,4 +1,4 @@
-"""One round of placing waiting tasks; no input or output."""
+"""One scheduling round for the waiting tasks; performs no I/O."""
 
 import typing as t
 
@@ -19,31 +19,31 @@
 from persimmonsail import logs
 
 _MILLISECONDS = 1000
-# A job of which nothing has run for so long takes what there is: where
-# everything that serves is disturbed by it, it would wait for ever, and a
-# job that stands still for 3 s beside free room counts as lost. Most find
-# a better place sooner.
+# A job that has had nothing running for this long accepts any placement:
+# if it interferes with all serving tasks, it would otherwise wait forever,
+# and a job idle for 3 s despite free capacity counts as lost. Most jobs find
+# a better placement sooner.
 _IDLE_SECONDS = 2.0
-# Rounds come at least so often, for what only time changes.
+# Maximum interval between rounds; some conditions change only with time.
 ROUND_SECONDS = 0.25
-# With a commit that a slow store takes as long for they begin so far apart. A
-# leader with a tenth of a processor has 0.6 to 1.4 s between them, and the end
-# of a run is as long under way to it as its next start is from it: there a job
-# takes what there is earlier by what these and the commit take longer.
-_USUAL_APART_SECONDS = 0.5
-_ROUNDS_AHEAD = 4
-# A round ends with so many claims, the most urgent: they are committed and
-# started before the next round looks for more. A claim takes 0.25 ms, so
-# that callers and renewals of leases wait 25 ms for a round at the most.
+# Interval between round starts when a slow store's commit takes as long as
+# ROUND_SECONDS. A leader with a tenth of a processor starts a round every 0.6
+# to 1.4 s, and the report of a run's end and the order of its next start are
+# delayed alike: the idle time-out shrinks by these delays and the commit's.
+_USUAL_ROUND_INTERVAL_SECONDS = 0.5
+_DELAYS_PER_RESTART = 4
+# A round ends after this many claims, the most urgent ones, which are
+# committed and started before the next round. A claim takes 0.25 ms, so a
+# round delays callers and lease renewals by at most 25 ms.
 MOST_CLAIMS = 100
-# Rounds are this far apart, so that ends of one moment share a commit; and
-# so many times as far as a round takes, so that on a large fleet, where runs
-# end all the time, looking for places takes a fifth of the processor at most.
-_GATHER_SECONDS = 0.008
-_GATHER_FACTOR = 4.0
-# While a round is full, more waits that has room: after a loss of power all
-# tasks do. Then placing may take half of the processor.
-_FULL_FACTOR = 1.0
+# The minimum pause lets simultaneous ends share a commit. The factor, relative
+# to the round's duration, limits placement to a fifth of the processor on a
+# large fleet, where runs end continuously.
+_MIN_PAUSE_SECONDS = 0.008
+_PAUSE_FACTOR = 4.0
+# A full round means that more placeable tasks are waiting, as all tasks are
+# after a power failure. Placement may then take half of the processor.
+_FULL_PAUSE_FACTOR = 1.0
 
 
 _StepId = tuple[str, tuple[int, int]]
@@ -53,80 +53,84 @@
     board: board_module.Board,
     places: places_module.Places,
     fleet: t.Iterable[instances.Instance],
-    known: t.Mapping[str, queues.Queue],
+    queues_by_name: t.Mapping[str, queues.Queue],
     slowdowns: t.Mapping[str, float],
     model: interference.Model,
     approvals: advice.Approvals,
     now: float,
-    wall: float,
-    apart: float = 0.0,
+    wall_seconds: float,
+    round_interval: float = 0.0,
 ) -> list[placer_module.Claim]:
-    """Claim room for as many waiting tasks as one round takes.
+    """Claim capacity for up to one round's worth of waiting tasks.
 
     Parameters
     ----------
     board : persimmonsail.jobs.board.Board
         The jobs; claimed tasks are marked as placed.
     places : persimmonsail.jobs.places.Places
-        The same one for all rounds of a leader.
+        The fleet snapshot, shared by all rounds of a leader.
     fleet : iterable of persimmonsail.jobs.instances.Instance
-        The instances; claimed runs are counted there.
-    known : mapping of str to persimmonsail.jobs.queues.Queue
+        The instances; claimed runs are added to them.
+    queues_by_name : mapping of str to persimmonsail.jobs.queues.Queue
         The queues by name.
     slowdowns : mapping of str to float
-        How much longer a queue's tasks take here than estimated.
+        Ratio of actual to estimated task duration, by queue.
     model : persimmonsail.jobs.interference.Model
-        What is known of the images.
+        Learned interference between images.
     approvals : persimmonsail.jobs.advice.Approvals
-        Where steps of queues with an advisor may run; what they lack is
-        noted there.
+        Where steps of advised queues may run; missing approvals are
+        requested there.
     now : float
         Seconds of the leader's clock.
-    wall : float
+    wall_seconds : float
         Seconds since the epoch.
-    apart : float, optional
-        Seconds since the round before began.
+    round_interval : float, optional
+        Seconds since the previous round began.
     """
     suspects.give_up_spent(board, now)
     approvals.begin_round()
     places.refresh(fleet, model, now)
-    longest = _choose_longest_idle(apart)
-    placing = _Round(board, places, model, approvals, now, wall, longest)
+    idle_timeout = _choose_idle_timeout(round_interval)
+    current_round = _Round(
+        board, places, model, approvals, now, wall_seconds, idle_timeout
+    )
     claims = []
-    for task, queue in _sort(board, known, slowdowns, now, wall):
-        claims += placing.place(task, queue)
+    for task, queue in _sort(
+        board, queues_by_name, slowdowns, now, wall_seconds
+    ):
+        claims += current_round.place(task, queue)
         if len(claims) >= MOST_CLAIMS:
             break
     return claims
 
 
-def choose_pause(took: float, full: bool) -> float:
-    """Return how long to wait until the next round of placing.
+def choose_pause(duration: float, full: bool) -> float:
+    """Return how long to wait until the next round.
 
     Parameters
     ----------
-    took : float
-        Seconds that the last round took.
+    duration : float
+        Duration of the last round in seconds.
     full : bool
-        Whether it ended before all that waits was looked at.
+        Whether it ended before all waiting tasks were considered.
 
     Returns
     -------
     float
         Seconds.
     """
-    factor = _FULL_FACTOR if full else _GATHER_FACTOR
-    return max(_GATHER_SECONDS, factor * took)
+    factor = _FULL_PAUSE_FACTOR if full else _PAUSE_FACTOR
+    return max(_MIN_PAUSE_SECONDS, factor * duration)
 
 
-def _choose_longest_idle(apart: float) -> float:
-    """Return for how many seconds a job waits for a good instance."""
-    late = max(apart - _USUAL_APART_SECONDS, 0.0)
-    return max(_IDLE_SECONDS - _ROUNDS_AHEAD * late, 0.0)
+def _choose_idle_timeout(round_interval: float) -> float:
+    """Return for how many seconds an idle job waits for full speed."""
+    delay = max(round_interval - _USUAL_ROUND_INTERVAL_SECONDS, 0.0)
+    return max(_IDLE_SECONDS - _DELAYS_PER_RESTART * delay, 0.0)
 
 
-def _measure_idle(job: job_module.Job, now: float) -> float:
-    """Return for how many seconds a job has had nothing placed."""
+def _measure_idle_seconds(job: job_module.Job, now: float) -> float:
+    """Return for how many seconds a job has had no task placed."""
     if job.placed_count or not job.idle_since:
         job.idle_since = now
     return now - job.idle_since
@@ -134,20 +138,20 @@
 
 def _sort(
     board: board_module.Board,
-    known: t.Mapping[str, queues.Queue],
+    queues_by_name: t.Mapping[str, queues.Queue],
     slowdowns: t.Mapping[str, float],
     now: float,
-    wall: float,
+    wall_seconds: float,
 ) -> list[tuple[job_module.Task, queues.Queue]]:
-    rated = []
-    wall_ms = wall * _MILLISECONDS
-    works = order.measure_mean_works(board.jobs.values())
+    ranked = []
+    wall_ms = wall_seconds * _MILLISECONDS
+    mean_works = order.measure_mean_works(board.jobs.values())
     for job in board.jobs.values():
-        queue = known.get(job.queue)
+        queue = queues_by_name.get(job.queue)
         if queue is None or not job.waiting:
             continue
         slowdown = slowdowns.get(job.queue, 1.0)
-        # Tasks of one step are alike urgent.
+        # All tasks of a step are equally urgent.
         keys: dict[tuple[int, int], t.Any] = {}
         for task in job.waiting.values():
             if task.not_before > now or task.due_ms > wall_ms:
@@ -155,18 +159,18 @@
             step = task.key.of_step
             if step not in keys:
                 keys[step] = order.rate(
-                    task, queue, wall_ms, slowdown, works[job.queue]
+                    task, queue, wall_ms, slowdown, mean_works[job.queue]
                 ).sort_key
-            # Suspects first: they wait for an instance that nothing else is
-            # started on, which comes to a few of them at a time.
-            later = not suspects.is_tried_next(task)
-            rated.append(((later, keys[step]), task, queue))
-    rated.sort(key=lambda row: row[0])
-    return [(task, queue) for _, task, queue in rated]
+            # Suspects first: they need an instance with no other starts,
+            # which only a few of them get at a time.
+            not_tried_next = not suspects.is_tried_next(task)
+            ranked.append(((not_tried_next, keys[step]), task, queue))
+    ranked.sort(key=lambda row: row[0])
+    return [(task, queue) for _, task, queue in ranked]
 
 
 class _Round:
-    """One round, and what found no room in it so far."""
+    """One scheduling round and the steps that it could not place."""
 
     def __init__(
         self,
@@ -175,52 +179,52 @@
         model: interference.Model,
         approvals: advice.Approvals,
         now: float,
-        wall: float,
-        longest_idle: float,
+        wall_seconds: float,
+        idle_timeout: float,
     ) -> None:
-        self._longest_idle = longest_idle
+        self._idle_timeout = idle_timeout
         self._board = board
         self._places = places
         self._model = model
         self._approvals = approvals
         self._now = now
-        self._wall_ms = wall * _MILLISECONDS
-        # Tasks of one step need the same; when one found no room, no other
-        # will in this round.
-        self._full: set[_StepId] = set()
-        # Services whose room is kept for a gang; what comes now is less
-        # urgent.
-        self._kept: set[str] = set()
-        # The instances of each service that get new work.
+        self._wall_ms = wall_seconds * _MILLISECONDS
+        # Tasks of a step have equal requirements: once one doesn't fit, no
+        # other one will in this round.
+        self._unplaceable_steps: set[_StepId] = set()
+        # Services whose capacity is reserved for a gang; all later tasks of
+        # this round are less urgent.
+        self._reserved_services: set[str] = set()
+        # Masks of the instances of each service that accept new work.
         self._usable: dict[str, numpy.ndarray] = {}
-        # Tasks come by steps, so only the last step's placer is used again.
-        self._placing: _StepId | None = None
+        # Tasks are ordered by step, so only the last placer is reused.
+        self._placer_step: _StepId | None = None
         self._placer: placer_module.Placer
 
     def place(
         self, task: job_module.Task, queue: queues.Queue
     ) -> list[placer_module.Claim]:
-        """Claim room for a task and its gang, if there is any."""
+        """Claim capacity for a task, or for its complete gang."""
         step = (task.job.id, task.key.of_step)
-        if step in self._full:
+        if step in self._unplaceable_steps:
             return []
-        idle = _measure_idle(task.job, self._now) > self._longest_idle
-        if queue.service in self._kept and not idle:
+        idle = _measure_idle_seconds(task.job, self._now) > self._idle_timeout
+        if queue.service in self._reserved_services and not idle:
             return []
         members = gangs.list_members(task, self._now)
         if suspects.needs_apart(task, self._now):
-            return self._place_apart(task, queue)
-        if self._placing != step:
+            return self._place_isolated(task, queue)
+        if self._placer_step != step:
             usable = self._find_usable(queue.service)
             self._placer = self._make_placer(task, queue, usable)
-            self._placing = step
-        least = 0.0 if idle else placement.LEAST_SPEED
-        found = self._placer.place(members, least)
-        if not found:
-            self._full.add(step)
-            self._note_missing(members, task, queue)
-        self._commit_all(found)
-        return found
+            self._placer_step = step
+        min_speed = 0.0 if idle else placement.LEAST_SPEED
+        claims = self._placer.place(members, min_speed)
+        if not claims:
+            self._unplaceable_steps.add(step)
+            self._handle_unplaced(members, task, queue)
+        self._commit_all(claims)
+        return claims
 
     def _commit_all(self, claims: t.Iterable[placer_module.Claim]) -> None:
         for claim in claims:
@@ -228,10 +232,10 @@
             claim.task.apart_since = 0.0
             _commit(self._board, claim, self._places.unused[row])
 
-    def _place_apart(
+    def _place_isolated(
         self, task: job_module.Task, queue: queues.Queue
     ) -> list[placer_module.Claim]:
-        """Try a suspect where its next crash tells that it was this one."""
+        """Place a suspect so that its next crash can be attributed to it."""
         fleet = self._places.fleet
         cleared = placement.find_cleared(fleet, task.name, self._now)
         usable = self._find_usable(queue.service)
@@ -239,21 +243,21 @@
         if cleared is not None:
             allowed = numpy.array([one is cleared for one in fleet])
         elif not self._may_reserve(usable, queue.service):
-            _stand_in_line(task)
+            _restart_wait(task)
             return []
         placer = self._make_placer(task, queue, allowed)
-        instance = placer.choose_apart(task)
+        instance = placer.choose_isolated(task)
         if instance is None or not placement.has_witness(fleet, instance):
-            _stand_in_line(task)
+            _restart_wait(task)
             return []
-        # What this round places from now on goes elsewhere.
+        # Later placements of this round go elsewhere.
         usable[self._places.find_row(instance)] = False
-        self._placing = None
+        self._placer_step = None
         if not suspects.is_quiet(instance, self._now):
             if cleared is None:
                 suspects.clear_instance(task, instance, self._now)
             return []
-        claim = placer.place_apart(task, instance)
+        claim = placer.place_isolated(task, instance)
         self._commit_all([claim])
         return [claim]
 
@@ -271,20 +275,20 @@
         usable: numpy.ndarray,
     ) -> placer_module.Placer:
         objective_ms = order.find_objective_ms(task.job, queue)
-        left_ms = objective_ms - (self._wall_ms - task.since_ms)
-        tickets = None
+        remaining_ms = objective_ms - (self._wall_ms - task.since_ms)
+        permits = None
         if queue.advised:
-            tickets = self._approvals.find_tickets(task.step_name, self._now)
+            permits = self._approvals.find_tickets(task.step_name, self._now)
         candidates = placement.Candidates(
             self._places,
             task.step,
             task.step_name,
             usable,
-            tickets,
+            permits,
         )
-        due = self._now + left_ms / _MILLISECONDS
+        deadline = self._now + remaining_ms / _MILLISECONDS
         return placer_module.Placer(
-            candidates, self._model, self._now, due, tickets or {}
+            candidates, self._model, self._now, deadline, permits or {}
         )
 
     def _find_usable(self, service: str) -> numpy.ndarray:
@@ -294,7 +298,7 @@
             )
         return self._usable[service]
 
-    def _note_missing(
+    def _handle_unplaced(
         self,
         members: t.Sequence[job_module.Task],
         task: job_module.Task,
@@ -304,12 +308,12 @@
         fleet = self._places.fleet
         if queue.advised:
             self._approvals.want(task, fleet, service, self._now)
-        if gangs.needs_room_kept(members, fleet, service, self._now):
-            self._kept.add(service)
+        if gangs.needs_reservation(members, fleet, service, self._now):
+            self._reserved_services.add(service)
 
 
-def _stand_in_line(task: job_module.Task) -> None:
-    """Have a suspect wait on while none can be tried, or others are."""
+def _restart_wait(task: job_module.Task) -> None:
+    """Restart a suspect's waiting time while it cannot be tried."""
     task.apart_since = 0.0
 
 
--- a/tests/jobs/cases.py
+++ b/tests/jobs/cases.py
@@ -1,4 +1,4 @@
-"""Jobs, instances and reports that several tests build."""
+"""Builders of jobs, instances and reports for tests."""
 
 import dataclasses
 
@@ -26,13 +26,13 @@
 
 
 def make_step(count=1, **fields) -> specification.Step:
-    """Return a step of one core and 100 MiB a task."""
+    """Return a step whose tasks need one core and 100 MiB by default."""
     fields.setdefault('size', specification.Size(1000, 100))
     return specification.Step(count=count, **fields)
 
 
 def make_job(*steps, id=ID, accepted_ms=0) -> job_module.Job:
-    """Return a job that nothing was done for."""
+    """Return a new job."""
     return job_module.Job(
         id,
         QUEUE.name,
@@ -42,7 +42,7 @@
 
 
 def make_instance(address='10.0.0.1:7000', cores=64, **fields):
-    """Return an attached instance with nothing on it."""
+    """Return an attached instance without runs."""
     fields.setdefault('boot', 'boot-1')
     return instances.Instance(
         address,
@@ -55,7 +55,7 @@
 
 
 def add_run(instance, step, task='00000000000000bb.0.0.0', **fields):
-    """Put a running run on an instance."""
+    """Add a running run to an instance."""
     fields.setdefault('phase', instances.RunPhase.RUNNING)
     fields.setdefault('seen_at', 1.0)
     run = instances.Run(
@@ -71,7 +71,7 @@
 
 
 def make_report(instance, **fields) -> fleet_pb2.Report:
-    """Return a report of an instance as it stands."""
+    """Return a report of an instance's current state."""
     size = instance.capacity
     report = fleet_pb2.Report(
         boot=instance.boot,
@@ -90,14 +90,14 @@
     places,
     fleet,
     now,
-    wall,
+    wall_seconds,
     *,
     queue=QUEUE,
     model=None,
     approvals=None,
-    apart=0.0,
+    round_interval=0.0,
 ):
-    """Place what waits on a board, in one round; return the claims."""
+    """Run one scheduling round; return its claims."""
     return scheduling.plan(
         board,
         places,
@@ -107,6 +107,6 @@
         model or interference.Model(),
         approvals or advice.Approvals(),
         now,
-        wall,
-        apart,
+        wall_seconds,
+        round_interval,
     )
--- a/tests/jobs/scalar_placement.py
+++ b/tests/jobs/scalar_placement.py
@@ -1,7 +1,6 @@
-"""Placing one task by looking at one instance after the other.
+"""Scalar reference implementation of placement.
 
-The plain form of what ``persimmonsail.jobs.places`` does with vectors,
-which tests hold it to.
+Tests compare the vectorised ``persimmonsail.jobs.places`` with it.
 """
 
 import typing as t
@@ -12,7 +11,7 @@
 from persimmonsail.jobs import placement
 from persimmonsail.jobs import specification
 
-_MARGIN = 0.03
+_HEADROOM = 0.03
 
 _Score = tuple[float, ...]
 
@@ -23,23 +22,23 @@
     service: str,
     model: interference.Model,
     now: float,
-    least_speed: float = placement.LEAST_SPEED,
+    min_speed: float = placement.LEAST_SPEED,
 ) -> instances.Instance | None:
-    """Return the best instance that has room for a task, or nothing."""
-    fitting = placement.list_fitting(task, fleet, service, now)
+    """Return the best instance with capacity for a task, if any."""
+    candidates = placement.list_fitting(task, fleet, service, now)
     if task.step.best_effort_cpu:
-        return _choose_fastest(task, fitting, model, least_speed, now)
-    return min(fitting, key=lambda i: _score(task, i, model), default=None)
+        return _choose_fastest(task, candidates, model, min_speed, now)
+    return min(candidates, key=lambda i: _score(task, i, model), default=None)
 
 
 def estimate_unused(
     instance: instances.Instance, model: interference.Model
 ) -> float:
-    """Return the millicores that nothing on an instance uses."""
-    part = model.estimate_use()
+    """Return the estimated unused millicores of an instance."""
+    use = model.estimate_use()
     unused = float(instance.capacity.millicores)
     for run in instance.runs.values():
-        used = part if run.serves else 1.0
+        used = use if run.serves else 1.0
         unused -= used * run.step.size.millicores
     return unused
 
@@ -50,10 +49,11 @@
     model: interference.Model,
     now: float,
 ) -> float:
-    """Return at which part of its speed a best-effort task would work.
+    """Return the speed of a best-effort task as a fraction of full speed.
 
-    Bounded by the processors that are left, and by the pressure that the
-    serving tasks bear at their mean load with all that is there already.
+    It is limited by the unused processors, and by the interference that the
+    serving tasks tolerate at their mean load beside the best-effort tasks
+    that already run there.
     """
     if not step.size.millicores:
         return 1.0
@@ -61,9 +61,9 @@
     if any(run.over_since for run in serving):
         return 0.0
     speed = estimate_unused(instance, model) / step.size.millicores
-    # Tasks of one step bear the same.
+    # Tasks of one step tolerate the same interference.
     by_step = {run.step_name: run for run in serving}
-    beside = [run.step for run in instance.fillers]
+    colocated = [run.step for run in instance.fillers]
     threshold = model.get_threshold()
     for run in by_step.values():
         image = run.step.image
@@ -71,19 +71,26 @@
         if model.get_bound(image, step.image) >= threshold:
             current = model.estimate_load(run, instance.address, now)
             load = max(load, current)
-        room = model.estimate_limit() - _MARGIN - load
-        pressure = _measure_pressure((*beside, step), run, instance, model)
-        speed = min(speed, max(room, 0.0) / pressure if pressure else 1.0)
+        headroom = model.estimate_limit() - _HEADROOM - load
+        interference_load = _estimate_interference(
+            (*colocated, step), run, instance, model
+        )
+        speed = min(
+            speed,
+            max(headroom, 0.0) / interference_load
+            if interference_load
+            else 1.0,
+        )
     return min(max(speed, 0.0), 1.0)
 
 
-def _measure_pressure(
+def _estimate_interference(
     steps: t.Iterable[specification.Step],
     serving: instances.Run,
     instance: instances.Instance,
     model: interference.Model,
 ) -> float:
-    """Return with how much tasks may press on a serving one together."""
+    """Return an upper bound of the tasks' combined interference."""
     image = serving.step.image
     capacity = max(instance.capacity.millicores, 1)
     return sum(
@@ -94,16 +101,16 @@
 
 def _choose_fastest(
     task: job_module.Task,
-    fitting: t.Iterable[instances.Instance],
+    candidates: t.Iterable[instances.Instance],
     model: interference.Model,
-    least_speed: float,
+    min_speed: float,
     now: float,
 ) -> instances.Instance | None:
     best: instances.Instance | None = None
     best_score: _Score = ()
-    for instance in fitting:
+    for instance in candidates:
         speed = estimate_speed(task.step, instance, model, now)
-        if speed < least_speed:
+        if speed < min_speed:
             continue
         remote = _is_remote(task, instance)
         avoided = instance.address in task.avoid
@@ -127,7 +134,7 @@
     remote = _is_remote(task, instance)
     if task.step.latency_target_ms:
         images = {run.step.image for run in instance.serving}
-        others = len(images - {task.step.image})
+        other_images = len(images - {task.step.image})
         size = 0 if images else instance.capacity.millicores
-        return (avoided, remote, others, not images, size)
+        return (avoided, remote, other_images, not images, size)
     return (avoided, remote, -estimate_unused(instance, model))
--- a/tests/jobs/test_order.py
+++ b/tests/jobs/test_order.py
@@ -8,7 +8,7 @@
 
 
 class OrderTest(base.TestCase):
-    """Replays a burst of builds on a fleet that is nearly full."""
+    """Replays a burst of builds on a nearly full fleet."""
 
     def rate(self, age_ms, estimate_ms=4000, slowdown=1.0, count=1, done=0):
         job = cases.make_job(cases.make_step(count, estimate_ms=estimate_ms))
@@ -21,18 +21,18 @@
         ).sort_key
 
     def test_what_can_be_on_time_goes_before_what_cannot(self):
-        """Builds that come during a burst all end late.
+        """Builds of a burst must not all be late.
 
-        The oldest ones, late whatever happens, take the room of those
-        that could still be on time.
+        The oldest ones, which were late in any case, took the capacity of
+        those that could still be on time.
         """
         self.assertLess(self.rate(age_ms=1000), self.rate(age_ms=8000))
 
     def test_what_is_on_time_is_judged_at_the_speed_of_the_day(self):
-        """All builds of a full day end a little late.
+        """Builds must not all be slightly late on a full fleet.
 
-        Each could be on time at full speed, so all were started, and
-        none of them reached that speed.
+        Each could have been on time at full speed, so all were started, but
+        none of them reached full speed.
         """
         self.assertLess(
             self.rate(age_ms=0, slowdown=2.0),
@@ -40,10 +40,10 @@
         )
 
     def test_of_two_on_time_the_one_with_less_work_left_goes_first(self):
-        """All builds of a full day end a little late.
+        """Builds must not all be slightly late on a full fleet.
 
-        The fleet worked on all of them at once, on each for the moment
-        when it had the least time to spare.
+        With least-slack-first, the fleet worked on all of them
+        concurrently.
         """
         self.assertLess(
             self.rate(age_ms=0, count=8, done=6),
@@ -51,10 +51,9 @@
         )
 
     def test_a_small_job_goes_first_but_a_large_one_is_not_starved(self):
-        """The largest builds of a burst never end in time.
+        """The largest builds of a burst must not always be late.
 
-        Whatever was smaller went before them, also when they were nearly
-        done.
+        Smaller builds preceded them, even when they were nearly done.
         """
         small = self.rate(age_ms=0, count=2)
         self.assertLess(small, self.rate(age_ms=0, count=16))
--- a/tests/jobs/test_placement.py
+++ b/tests/jobs/test_placement.py
@@ -26,10 +26,10 @@
     def choose(self, step):
         job = cases.make_job(step)
         (task, *_) = job.waiting.values()
-        known = places.Places()
-        known.refresh(self.fleet, self.model, NOW)
+        snapshot = places.Places()
+        snapshot.refresh(self.fleet, self.model, NOW)
         candidates = placement.Candidates(
-            known,
+            snapshot,
             step,
             task.step_name,
             placement.find_usable(self.fleet, cases.QUEUE.service, NOW),
@@ -54,7 +54,7 @@
                 setattr(self.first, name, value)
 
     def test_what_is_being_stopped_takes_room(self):
-        """An instance is filled beyond its size for a moment."""
+        """An instance must not be overcommitted while a run is stopping."""
         big = cases.make_step(1, size=specification.Size(60000, 100))
         run = cases.add_run(self.first, big)
         run.phase = instances.RunPhase.STOPPING
@@ -70,10 +70,10 @@
         self.assertIs(self.second, self.choose(spread))
 
     def test_a_serving_task_goes_beside_its_own_image(self):
-        """Builds find no instance where they may work at full speed.
+        """Builds must find instances that allow their full speed.
 
-        Every instance serves every image, and some image is disturbed by
-        each build.
+        Every instance served every image, and each build interferes with
+        one of them.
         """
         other = cases.make_step(1, image='map', latency_target_ms=10)
         cases.add_run(self.first, other)
@@ -88,9 +88,9 @@
         self.assertIs(self.second, self.choose(build))
 
     def test_a_best_effort_task_waits_rather_than_crawl(self):
-        """Builds stand still beside watchers and all end late.
+        """Builds must not stall beside watchers and end late.
 
-        They were placed where their images press too much to work.
+        They were placed where they interfere too much to make progress.
         """
         self.fleet = [self.first]
         for i in range(4):
--- a/tests/jobs/test_places.py
+++ b/tests/jobs/test_places.py
@@ -9,12 +9,12 @@
 from tests.jobs import scalar_placement
 
 NOW = 100.0
-IMAGES = ('one', 'two', 'three')
-FILLING = ('light', 'heavy', 'other', 'new')
+SERVING_IMAGES = ('one', 'two', 'three')
+BEST_EFFORT_IMAGES = ('light', 'heavy', 'other', 'new')
 
 
 class PlacesTest(base.TestCase):
-    """Holds vectors to what one instance after the other would choose."""
+    """Compares vectorised placement with the scalar reference."""
 
     def setUp(self):
         super().setUp()
@@ -40,15 +40,15 @@
 
     def draw_serving(self):
         return self.draw_step(
-            image=self.random.choice(IMAGES), latency_target_ms=18
+            image=self.random.choice(SERVING_IMAGES), latency_target_ms=18
         )
 
-    def draw_filling(self):
+    def draw_best_effort(self):
         return self.draw_step(
-            image=self.random.choice(FILLING), best_effort_cpu=True
+            image=self.random.choice(BEST_EFFORT_IMAGES), best_effort_cpu=True
         )
 
-    def draw_quick(self):
+    def draw_short(self):
         return self.draw_step(
             label=self.random.choice(('', 'r1')),
             data_rack=self.random.choice(('', 'r2')),
@@ -65,15 +65,15 @@
         else:
             run.gauge = 0.5 * step.size.millicores
 
-    def fill(self):
+    def add_runs(self):
         for instance in self.fleet:
             for _ in range(self.random.randint(0, 3)):
                 self.add_run(instance, self.draw_serving())
             for _ in range(self.random.randint(0, 3)):
-                self.add_run(instance, self.draw_filling())
+                self.add_run(instance, self.draw_best_effort())
             self.model.learn(instance, NOW)
 
-    def choose(self, task, least_speed):
+    def choose(self, task, min_speed):
         service = cases.QUEUE.service
         self.places.refresh(self.fleet, self.model, NOW)
         candidates = placement.Candidates(
@@ -82,29 +82,34 @@
             task.step_name,
             placement.find_usable(self.fleet, service, NOW),
         )
-        return candidates, candidates.choose(task.avoid, least_speed)
+        return candidates, candidates.choose(task.avoid, min_speed)
 
-    def test_the_fleet_is_rated_as_each_instance_is(self):
-        """Tasks go elsewhere than the documents say.
+    def test_vectorised_choice_equals_the_scalar_one(self):
+        """Placement must follow the documented rules.
 
-        The fleet is rated at once for a step, from what was read of each
-        instance when it last changed.
+        The fleet is rated at once for a step, from rows that were read when
+        their instance last changed.
         """
-        self.fill()
+        self.add_runs()
         chosen = 0
         for number in range(300):
             draw = self.random.choice(
-                (self.draw_serving, self.draw_filling, self.draw_quick)
+                (self.draw_serving, self.draw_best_effort, self.draw_short)
             )
             job = cases.make_job(draw(), id=f'{number:016x}')
             (task,) = job.tasks.values()
             if self.random.random() < 0.3:
                 task.avoid.add(self.random.choice(self.fleet).address)
-            least = self.random.choice((0.0, 0.5, 0.95))
+            min_speed = self.random.choice((0.0, 0.5, 0.95))
             expected = scalar_placement.choose(
-                task, self.fleet, cases.QUEUE.service, self.model, NOW, least
+                task,
+                self.fleet,
+                cases.QUEUE.service,
+                self.model,
+                NOW,
+                min_speed,
             )
-            _, found = self.choose(task, least)
+            _, found = self.choose(task, min_speed)
             self.assertIs(expected, found, task.step)
             if found is not None:
                 chosen += 1
@@ -112,13 +117,13 @@
         self.assertGreater(chosen, 100)
 
     def test_a_claim_is_counted_before_the_next(self):
-        """All tasks of a build crowd on one instance.
+        """The tasks of a build must not all go to one instance.
 
-        A round rates the fleet once for all of them, and the first claim
-        did not change what the second was told.
+        A round rates the fleet once for all of them, and the second task
+        was placed without taking the first claim into account.
         """
-        self.fill()
-        step = self.draw_filling()
+        self.add_runs()
+        step = self.draw_best_effort()
         job = cases.make_job(step)
         (task,) = job.tasks.values()
         candidates, found = self.choose(task, 0.0)
@@ -128,12 +133,12 @@
             )
             self.assertIs(expected, found)
             self.add_run(found, step)
-            candidates.note_change(found)
+            candidates.update_instance(found)
             found = candidates.choose(task.avoid, 0.0)
 
-    def test_instances_may_come_and_go(self):
-        self.fill()
-        job = cases.make_job(self.draw_quick())
+    def test_instances_may_be_added_and_removed(self):
+        self.add_runs()
+        job = cases.make_job(self.draw_short())
         (task,) = job.tasks.values()
         del self.fleet[3:]
         _, found = self.choose(task, 0.0)
--- a/tests/jobs/test_scheduling.py
+++ b/tests/jobs/test_scheduling.py
@@ -27,7 +27,7 @@
         self.board.add(job)
         return job
 
-    def plan(self, now=NOW, apart=0.0):
+    def plan(self, now=NOW, round_interval=0.0):
         return cases.plan(
             self.board,
             self.places,
@@ -36,7 +36,7 @@
             WALL,
             model=self.model,
             approvals=self.approvals,
-            apart=apart,
+            round_interval=round_interval,
         )
 
     def test_an_instance_is_never_filled_beyond_its_size(self):
@@ -58,30 +58,29 @@
         self.assertEqual(1, len(self.plan(NOW + 0.2)))
 
     def test_a_job_runs_although_it_disturbs_everything(self):
-        """A build does not begin for 3 s on a fleet that is half empty.
+        """A build must not stay idle for 3 s on a half-empty fleet.
 
-        Each instance serves an image that the build presses on, so that
-        none would let it work at its speed, and it waits for a better one.
+        It interferes with an image that every instance serves, so no
+        instance allows its full speed, and it waits for a better one.
         """
-        self.add_what_disturbs_everything()
+        self.add_interfering_build()
         self.assertEqual([], self.plan())
         self.assertEqual([], self.plan(NOW + 1.5))
         self.assertEqual(1, len(self.plan(NOW + 2.5)))
 
     def test_a_slow_leader_waits_less_for_a_better_place(self):
-        """A build stands still for 3 s on a fleet that is half empty.
+        """A build must not stay idle for 3 s on a half-empty fleet.
 
-        After a loss of power an entry with a tenth of a processor led: its
-        rounds came 0.8 to 1.4 s apart and its starts took 0.5 s, so that a
-        build that had waited 2 s for a better instance was started after
-        3.0 and 3.4 s.
+        After a power failure, a leader with a tenth of a processor had
+        round intervals of 0.8 to 1.4 s and took 0.5 s to start a run: builds
+        that waited 2 s for a better instance started after 3.0 and 3.4 s.
         """
-        self.add_what_disturbs_everything()
-        self.assertEqual([], self.plan(apart=0.3))
-        self.assertEqual([], self.plan(NOW + 0.3, apart=0.8))
-        self.assertEqual(1, len(self.plan(NOW + 1.1, apart=0.8)))
+        self.add_interfering_build()
+        self.assertEqual([], self.plan(round_interval=0.3))
+        self.assertEqual([], self.plan(NOW + 0.3, round_interval=0.8))
+        self.assertEqual(1, len(self.plan(NOW + 1.1, round_interval=0.8)))
 
-    def add_what_disturbs_everything(self):
+    def add_interfering_build(self):
         serving = cases.make_step(1, image='shop', latency_target_ms=10)
         for i in range(4):
             cases.add_run(self.instance, serving, f'00000000000000c{i}.0.0.0')
@@ -91,9 +90,9 @@
         )
 
     def test_an_occurrence_waits_for_its_time(self):
-        """A report that recurs is made before its data is there.
+        """A recurring report must not run before its data is available.
 
-        All occurrences were placed as soon as the job was accepted.
+        All occurrences used to be placed when the job was accepted.
         """
         job = job_module.Job(
             cases.ID,
@@ -110,7 +109,7 @@
         self.board.add(job)
         claims = self.plan()
         self.assertEqual({0}, {claim.task.key.occurrence for claim in claims})
-        # Its objective counts from its own time, not from the acceptance.
+        # Its objective counts from its due time, not from the acceptance.
         self.assertGreater(claims[0].run.due, NOW)
         for claim in claims:
             self.instance.drop_run((claim.run.task, claim.run.number))
@@ -129,10 +128,10 @@
         return self.add(cases.make_step(count, gang=True, **fields), id)
 
     def test_a_gang_is_placed_as_a_whole_or_not_at_all(self):
-        """Tasks of a simulation wait for each other and give up.
+        """Tasks of a simulation must not wait for each other in vain.
 
-        There was room for some of them only, and those held it while
-        they waited.
+        With capacity for some of them only, those held it until they timed
+        out.
         """
         self.add_gang(9)
         self.assertEqual([], self.plan())
@@ -143,10 +142,10 @@
         self.assertEqual({1}, {claim.run.number for claim in claims})
 
     def test_room_is_kept_for_a_gang_that_waits(self):
-        """A simulation of eight tasks never begins on a busy instance.
+        """A gang of eight tasks must not starve on a busy instance.
 
         Single tasks ended one by one, and each time another single task,
-        less urgent but alone, took the processor that was left.
+        though less urgent, took the processor that became free.
         """
         single = cases.make_step(1)
         running = [
@@ -163,10 +162,10 @@
         self.assertEqual(0, later.placed_count)
 
     def test_no_room_is_kept_for_a_gang_that_can_never_fit(self):
-        """Nothing starts any more on a fleet that is half empty.
+        """An unplaceable gang must not block a half-empty fleet.
 
-        Room was kept for a gang that is larger than all that the fleet
-        has beside its watchers, which never end.
+        Capacity was reserved for a gang that exceeds what the fleet has
+        beside its watchers, which never end.
         """
         watcher = cases.make_step(1, long_running=True)
         cases.add_run(self.instance, watcher)
@@ -177,9 +176,9 @@
         self.assertEqual(3, len(self.plan(NOW + 1.5)))
 
     def test_who_waits_long_takes_room_that_is_kept(self):
-        """A job stands still for ever behind gangs that need everything.
+        """A job must not starve behind gangs that need all capacity.
 
-        New gangs come one after the other, each as urgent as the last.
+        New gangs arrive continuously, each as urgent as the previous one.
         """
         cases.add_run(self.instance, cases.make_step(1))
         self.add_gang(8)
@@ -191,10 +190,10 @@
         self.assertEqual(1, len(self.plan(NOW + 2.5)))
 
     def test_a_broken_gang_waits_for_its_last_member(self):
-        """A simulation never begins anew after one of its tasks failed.
+        """A gang must restart together after one of its tasks has failed.
 
-        The others' ends came later, so some had begun their next run
-        under another number than the rest.
+        The other tasks' ends arrived later, so some of them had started
+        their next run under a different number than the rest.
         """
         job = self.add_gang(3)
         claims = self.plan()
@@ -228,20 +227,21 @@
         self.assertEqual(1, len({c.instance.rack for c in claims}))
 
     def test_placing_leaves_the_processor_to_what_else_there_is(self):
-        """Renewals and callers wait behind round after round.
+        """Rounds must not delay lease renewals and callers.
 
-        On a large fleet some run ends each 5 ms and asks for a round.
+        On a large fleet a run ends every 5 ms and triggers a round.
         """
-        for took in (0.001, 0.01, 0.05):
-            pause = scheduling.choose_pause(took, False)
+        for duration in (0.001, 0.01, 0.05):
+            pause = scheduling.choose_pause(duration, False)
             self.assertGreaterEqual(pause, 0.008)
-            self.assertLessEqual(took / (took + pause), 0.2)
+            self.assertLessEqual(duration / (duration + pause), 0.2)
 
     def test_much_that_waits_is_placed_soon(self):
-        """Watchers are away for a second longer than their instances.
+        """Watchers must not be down a second longer than their instances.
 
-        All machines had lost power: 1,500 tasks had to be placed, 100 a
-        round of 25 ms, and each round was followed by a pause of four.
+        After a power failure of all machines 1,500 tasks had to be placed,
+        100 per round of 25 ms, and each round was followed by a pause of
+        four times its duration.
         """
         rounds = 15
         pauses = rounds * scheduling.choose_pause(0.025, True)
@@ -249,7 +249,7 @@
 
 
 class SuspectTest(base.TestCase):
-    """A suspect is tried where its crash can be nobody else's."""
+    """A suspect runs where its crash can be attributed to it."""
 
     def setUp(self):
         super().setUp()
@@ -281,10 +281,10 @@
         self.assertIs(self.fleet[1], claim.instance)
 
     def test_where_nothing_is_quiet_an_instance_becomes_so_first(self):
-        """Agents came back a moment ago, and everything began there.
+        """A suspect must not be blamed for another task's crash.
 
-        A suspect that began along with them was held responsible when a
-        new bad task ended the agent again.
+        All instances had just restarted their tasks. A suspect that started
+        with them was blamed when a new faulty task crashed the agent.
         """
         for index, instance in enumerate(self.fleet):
             name = f'00000000000000bb.0.0.{index}'
@@ -301,7 +301,7 @@
         self.assertIs(self.task, claim.task)
 
     def test_an_instance_that_finds_no_quiet_is_used_again(self):
-        """A start there stays unanswered; nothing may wait on for it."""
+        """An unanswered start must not reserve its instance forever."""
         for instance in self.fleet:
             name = f'00000000000000bb.0.0.{instance.boot[-1]}'
             self.add_other(instance, 0.0, name)
@@ -312,23 +312,23 @@
         self.assertFalse(any(one.is_reserved(later) for one in self.fleet))
 
     def test_a_suspect_waits_for_a_witness(self):
-        """A loss of power can't be told from its crash if none outlives it."""
+        """Without a surviving instance, its crash looks like a power loss."""
         self.fleet[1].silent_seconds = 2.0
         self.assertEqual([], self.plan(NOW))
         self.fleet[1].silent_seconds = 0.0
         (claim,) = self.plan(NOW + 0.1)
         self.assertIs(self.task, claim.task)
 
-    def test_a_suspect_waits_for_no_witness_that_is_gone(self):
+    def test_a_suspect_does_not_wait_for_an_unreachable_witness(self):
         self.fleet[1].silent_seconds = 60.0
         (claim,) = self.plan(NOW)
         self.assertIs(self.fleet[0], claim.instance)
 
-    def test_suspects_come_before_what_would_take_their_instances(self):
-        """Others began wherever a suspect's turn had come, again and again."""
+    def test_suspects_are_placed_before_other_tasks(self):
+        """Other tasks kept starting on the instances that suspects needed."""
         other = cases.make_job(cases.make_step(60), id='0' * 16)
         self.board.add(other)
         claims = self.plan(NOW)
         self.assertIs(self.task, claims[0].task)
-        places = {claim.instance.address for claim in claims[1:]}
-        self.assertNotIn(claims[0].instance.address, places)
+        addresses = {claim.instance.address for claim in claims[1:]}
+        self.assertNotIn(claims[0].instance.address, addresses)
