--- a/src/persimmonsail/jobs/counts.py
+++ b/src/persimmonsail/jobs/counts.py
@@ -1,4 +1,4 @@
-"""How many jobs wait for their first task, told by any entry."""
+"""Counts of the jobs waiting for their first task, on any entry."""
 
 import collections
 import typing as t
@@ -15,25 +15,25 @@
 if t.TYPE_CHECKING:
     from persimmonsail.jobs import leader as leader_module
 
-# A count of pending jobs that was asked for so lately is used again.
-_COUNT_AGE_SECONDS = 0.5
-# Callers may be told a count that is 2 s old; the rest is for its way.
-_OLDEST_COUNT_SECONDS = 1.5
+# How long a count received from the leader is cached.
+_CACHE_SECONDS = 0.5
+# Callers may receive a count that is 2 s old; the rest is for transmission.
+_MAX_AGE_SECONDS = 1.5
 
 CallLeader = t.Callable[[str, t.Any], t.Awaitable[t.Any]]
 
 
 class Counts:
-    """Asks the leader for counts, or reads them from the store.
+    """Requests counts from the leader, or reads them from the store.
 
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where jobs and their progress are kept.
+        Where jobs and their progress are stored.
     call_leader : callable
-        Makes a call by its name and message to the leader's entry;
-        returns nothing if it is not heard.
-    get_own : callable
+        Calls a method of the leader's entry with a message; returns
+        None without an answer.
+    get_local_leader : callable
         Returns the leader if it runs in this process.
     """
 
@@ -41,81 +41,82 @@
         self,
         store: store_module.TransactionalStore,
         call_leader: CallLeader,
-        get_own: t.Callable[[], 'leader_module.Leader | None'],
+        get_local_leader: t.Callable[[], 'leader_module.Leader | None'],
     ) -> None:
         self._store = store
         self._call_leader = call_leader
-        self._get_own = get_own
-        # When the leader was asked for a queue's count, and the count.
-        self._told: dict[str, tuple[float, int]] = {}
-        # The counts of all queues in the store, and how old they are.
-        self._scanned: collections.Counter[str] = collections.Counter()
-        self._scanned_at = -_OLDEST_COUNT_SECONDS
-        self._scanning = anyio.Lock()
+        self._get_local_leader = get_local_leader
+        # The leader's counts by queue, each with the time of its request.
+        self._cached: dict[str, tuple[float, int]] = {}
+        # The counts of all queues from the last scan of the store.
+        self._scanned_counts: collections.Counter[str] = collections.Counter()
+        self._scanned_at = -_MAX_AGE_SECONDS
+        self._scan_lock = anyio.Lock()
 
     async def count(self, queue: str) -> int | None:
         """Return how many jobs of a queue wait for their first task.
 
-        Nothing is returned when neither leader nor store answers.
+        None is returned when neither leader nor store answers.
         """
-        own = self._get_own()
-        pending = own.count_pending(queue) if own else None
+        leader = self._get_local_leader()
+        pending = leader.count_pending(queue) if leader else None
         if pending is not None:
             return pending
-        asked_at, count = self._told.get(queue, (0.0, 0))
+        requested_at, count = self._cached.get(queue, (0.0, 0))
         now = clock.read()
-        if asked_at and now - asked_at < _COUNT_AGE_SECONDS:
+        if requested_at and now - requested_at < _CACHE_SECONDS:
             return count
-        if own is not None and not own.loaded:
-            # Its own reading of the jobs ends sooner without another one.
+        if leader is not None and not leader.loaded:
+            # A scan would slow down the leader's own loading of the jobs.
             return None
         query = fleet_pb2.QueueQuery(queue=queue)
         reply = await self._call_leader('CountPending', query)
         if reply is not None and reply.leads:
-            self._told[queue] = (now, reply.pending)
+            self._cached[queue] = (now, reply.pending)
             return reply.pending
-        async with self._scanning:
-            oldest = clock.read() - _OLDEST_COUNT_SECONDS
-            if self._scanned_at > oldest:
-                # By the call that this one has waited for.
-                return self._scanned[queue]
-            if now < oldest:
-                # That took so long that another try would be as late.
+        async with self._scan_lock:
+            min_scanned_at = clock.read() - _MAX_AGE_SECONDS
+            if self._scanned_at > min_scanned_at:
+                # Scanned by the call that held the lock.
+                return self._scanned_counts[queue]
+            if now < min_scanned_at:
+                # The other scan took too long, and so would this one.
                 return None
-            if not await self._scan_counts():
+            if not await self._scan_store():
                 return None
-            return self._scanned[queue]
+            return self._scanned_counts[queue]
 
-    async def _scan_counts(self) -> bool:
-        """Count the jobs of all queues in the store; tell whether it can.
+    async def _scan_store(self) -> bool:
+        """Count the jobs of all queues in the store; tell if it succeeded.
 
-        Load pattern: the leader is gone, and callers ask each entry for
-        the count of each queue. A scan takes all that the store has of the
-        jobs; over a link of 1 Mbit/s that is seconds in which a new leader
-        on this machine reads none of it. So one runs at a time, for all.
+        Load pattern: there is no leader, and callers request the count of
+        each queue from each entry. A scan reads all stored jobs; over a
+        link of 1 Mbit/s this takes seconds in which a new leader on this
+        machine can't load them. So only one scan runs at a time, and all
+        queues share it.
         """
-        asked_at = clock.read()
+        requested_at = clock.read()
         try:
             jobs = await self._store.scan(record.JOBS)
             progress = await self._store.scan(record.PROGRESS)
         except exceptions.StoreUnavailable as error:
             logs.write_event('count-unanswered', error=error)
             return False
-        begun = {
+        started = {
             item.key.removeprefix(record.PROGRESS)
             for item in progress.items
-            if _has_begun(item)
+            if _has_started(item)
         }
-        self._scanned = collections.Counter(
+        self._scanned_counts = collections.Counter(
             _read_queue(item)
             for item in jobs.items
-            if item.key.removeprefix(record.JOBS) not in begun
+            if item.key.removeprefix(record.JOBS) not in started
         )
-        self._scanned_at = asked_at
+        self._scanned_at = requested_at
         return True
 
 
-def _has_begun(progress: store_module.Item) -> bool:
+def _has_started(progress: store_module.Item) -> bool:
     try:
         phase = record.decode_state(progress.value).phase
     except ValueError as error:
@@ -125,7 +126,7 @@
 
 
 def _read_queue(job: store_module.Item) -> str:
-    """Return the queue of a stored job; none that there is if unreadable."""
+    """Return the queue of a stored job; empty if it is unreadable."""
     try:
         stored = record.StoredSubmission.model_validate_json(job.value)
     except ValueError as error:
--- a/src/persimmonsail/jobs/gateway.py
+++ b/src/persimmonsail/jobs/gateway.py
@@ -1,4 +1,4 @@
-"""The product's own HTTP interface for jobs; holds no state."""
+"""The native HTTP interface for jobs; stateless."""
 
 import time
 import typing as t
@@ -22,29 +22,29 @@
 from persimmonsail import problems
 from persimmonsail import tracebacks
 
-# What callers wait who set no Request-Timeout.
-_DEFAULT_SECONDS = 3.0
-_MOST_SECONDS = 30.0
-_ID = r'^[0-9A-Za-z_-]{1,64}$'
+# Used for requests without a Request-Timeout header.
+_DEFAULT_TIMEOUT_SECONDS = 3.0
+_MAX_TIMEOUT_SECONDS = 30.0
+_ID_PATTERN = r'^[0-9A-Za-z_-]{1,64}$'
 
-_Name = t.Annotated[str, pydantic.Field(pattern=_ID)]
+_JobId = t.Annotated[str, pydantic.Field(pattern=_ID_PATTERN)]
 
 
-class _Place(pydantic.BaseModel):
-    """Which job a call is about."""
+class _PathParameters(pydantic.BaseModel):
+    """The path parameter that identifies a job."""
 
-    job: _Name
+    job: _JobId
 
 
 class _Headers(pydantic.BaseModel):
-    """The headers that have a meaning here."""
+    """The request headers that are evaluated."""
 
     model_config = pydantic.ConfigDict(extra='ignore')
 
     timeout: t.Annotated[
         float,
-        pydantic.Field(alias='request-timeout', gt=0, le=_MOST_SECONDS),
-    ] = _DEFAULT_SECONDS
+        pydantic.Field(alias='request-timeout', gt=0, le=_MAX_TIMEOUT_SECONDS),
+    ] = _DEFAULT_TIMEOUT_SECONDS
 
 
 class JobGateway:
@@ -55,9 +55,9 @@
     intake : persimmonsail.jobs.intake.Intake
         Accepts, cancels and finds jobs.
     view : persimmonsail.jobs.queues.View
-        The queues in force.
+        The current configuration of queues.
     is_ready : callable
-        Tells whether this entry takes calls.
+        Tells whether this entry accepts calls.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
                 routing.Route(job, self._put, methods=['PUT']),
                 routing.Route(job, self._get, methods=['GET']),
                 routing.Route(job, self._delete, methods=['DELETE']),
-                routing.Route('/v1/queues/{queue}', self._count),
+                routing.Route('/v1/queues/{queue}', self._get_count),
                 routing.Route('/health', self._get_health),
                 routing.Route('/ready', self._get_ready),
                 routing.Route('/metrics', self._get_metrics),
@@ -88,9 +88,9 @@
         )
 
     async def _put(self, request: requests.Request) -> responses.Response:
-        until = _read_until(request)
-        # The whole body is read before any refusal, so that the caller
-        # gets to read it.
+        deadline = _read_deadline(request)
+        # Read the complete body before refusing a request: otherwise the
+        # connection is reset and the caller can't read the response.
         body = await self._read_body(request)
         queue = self._find_queue(request)
         id = _read_id(request)
@@ -98,13 +98,13 @@
             specification = specification_module.decode_json(body)
             specification_module.check(specification)
             outcome = await self._intake.submit(
-                id, queue, specification, until
+                id, queue, specification, deadline
             )
         except exceptions.JobInvalid as error:
             raise problems.Problem(
                 422, 'Not accepted', problems.NOT_RUN, str(error)
             ) from error
-        _log('submit', request, id, outcome.value)
+        _note_call('submit', request, id, outcome.value)
         if outcome is intake_module.Outcome.ACCEPTED:
             return responses.JSONResponse(
                 {'job': id, 'queue': queue.name},
@@ -121,17 +121,17 @@
         raise _describe_outcome(outcome, 'accepted')
 
     async def _get(self, request: requests.Request) -> responses.Response:
-        until = _read_until(request)
+        deadline = _read_deadline(request)
         queue = self._find_queue(request)
         id = _read_id(request)
-        found = await self._intake.find_state(id, until)
+        found = await self._intake.find_state(id, deadline)
         if isinstance(found, record.JobState):
-            _log('find', request, id, found.phase.value)
+            _note_call('find', request, id, found.phase.value)
             body = {'job': id, 'queue': queue.name, 'phase': found.phase.value}
             if found.reason:
                 body['reason'] = found.reason
             return responses.JSONResponse(body)
-        _log('find', request, id, found.value)
+        _note_call('find', request, id, found.value)
         if found is intake_module.Outcome.ABSENT:
             raise _describe_absent(id)
         raise problems.Problem(
@@ -143,11 +143,11 @@
         )
 
     async def _delete(self, request: requests.Request) -> responses.Response:
-        until = _read_until(request)
+        deadline = _read_deadline(request)
         queue = self._find_queue(request)
         id = _read_id(request)
-        outcome = await self._intake.cancel(id, until)
-        _log('cancel', request, id, outcome.value)
+        outcome = await self._intake.cancel(id, deadline)
+        _note_call('cancel', request, id, outcome.value)
         if outcome is intake_module.Outcome.ACCEPTED:
             return responses.JSONResponse(
                 {'job': id, 'queue': queue.name}, status_code=202
@@ -156,7 +156,9 @@
             raise _describe_absent(id)
         raise _describe_outcome(outcome, 'cancelled')
 
-    async def _count(self, request: requests.Request) -> responses.Response:
+    async def _get_count(
+        self, request: requests.Request
+    ) -> responses.Response:
         queue = self._find_queue(request)
         count = await self._intake.count_pending(queue.name)
         if count is None:
@@ -234,7 +236,7 @@
         return answers.respond_error(error, id)
 
 
-def _read_until(request: requests.Request) -> float:
+def _read_deadline(request: requests.Request) -> float:
     request.state.begun = time.monotonic()
     try:
         headers = _Headers.model_validate(dict(request.headers))
@@ -243,14 +245,15 @@
             400,
             'Invalid header',
             problems.NOT_RUN,
-            f'request-timeout: above 0, at most {_MOST_SECONDS:g} seconds',
+            'request-timeout: above 0, '
+            f'at most {_MAX_TIMEOUT_SECONDS:g} seconds',
         ) from error
     return clock.read() + headers.timeout * intake_module.STORE_SHARE
 
 
 def _read_id(request: requests.Request) -> str:
     try:
-        return _Place.model_validate(request.path_params).job
+        return _PathParameters.model_validate(request.path_params).job
     except pydantic.ValidationError as error:
         raise problems.Problem(
             422,
@@ -265,12 +268,12 @@
 
 
 def _describe_outcome(
-    outcome: intake_module.Outcome, wanted: str
+    outcome: intake_module.Outcome, action: str
 ) -> problems.Problem:
     if outcome is intake_module.Outcome.REFUSED:
         return problems.Problem(
             503,
-            f'Not {wanted}',
+            f'Not {action}',
             problems.NOT_RUN,
             'the store is out of reach',
             intake_module.RETRY_SECONDS,
@@ -279,12 +282,14 @@
         504,
         'Outcome unknown',
         problems.UNKNOWN,
-        f'it may have been {wanted}: ask again with the same id',
+        f'it may have been {action}: ask again with the same id',
         intake_module.RETRY_SECONDS,
     )
 
 
-def _log(call: str, request: requests.Request, id: str, outcome: str) -> None:
+def _note_call(
+    call: str, request: requests.Request, id: str, outcome: str
+) -> None:
     seconds = time.monotonic() - request.state.begun
     intake_module.note_call(
         call, id, request.path_params['queue'], outcome, seconds
--- a/src/persimmonsail/jobs/intake.py
+++ b/src/persimmonsail/jobs/intake.py
@@ -1,7 +1,7 @@
-"""What any entry does for callers, whoever leads.
+"""Callers' requests about jobs, which any entry handles.
 
-A job is accepted by one write of its own key, which only takes effect if
-the key is absent: two entries, or a repeated request, make one job.
+A job is accepted by one write of its own key, which only succeeds if the
+key is absent: two entries, or a repeated request, create one job.
 """
 
 import enum
@@ -29,27 +29,27 @@
     from persimmonsail.jobs import leader as leader_module
 
 _MILLISECONDS = 1000
-_PAUSE_SECONDS = 0.1
-# A read is sent again after this time, the first one still under way: at its
-# slowest the store takes 0.3 s an answer, and a silent one leaves what it was
-# asked unanswered also when it is back.
-_ASK_AGAIN_SECONDS = 0.3
-# How long another entry may take; the caller still waits for the store.
-_PEER_SECONDS = 0.6
-# The part of a caller's time that the store may take; the rest is for
-# the answer's way.
+_RETRY_PAUSE_SECONDS = 0.1
+# A read is sent again after this time while the first one is still pending:
+# the store takes at most 0.3 s to answer, and after an outage it doesn't
+# answer requests that it received before.
+_READ_RETRY_SECONDS = 0.3
+# Timeout for calls to another entry; the caller needs time for the store.
+_PEER_TIMEOUT_SECONDS = 0.6
+# The fraction of a caller's timeout that the store may use; the rest is for
+# transmitting the answer.
 STORE_SHARE = 0.75
-# A caller that was turned away since the store is out of reach: outages
-# last seconds, and another entry may reach it.
+# Sent to callers that are refused because the store is unreachable: outages
+# last seconds, and another entry may reach the store.
 RETRY_SECONDS = 1
 
 
 class Outcome(enum.Enum):
-    """What became of a request.
+    """The outcome of a request.
 
-    ``REFUSED`` says that nothing was stored; ``UNKNOWN`` that it may
-    have been, so that the caller has to ask again with the same id;
-    ``CANCELLED`` that it never will be, as its cancel came first.
+    ``REFUSED``: nothing was stored. ``UNKNOWN``: it may have been stored,
+    so the caller has to retry with the same id. ``CANCELLED``: it will
+    never be stored, as the job was cancelled first.
     """
 
     ACCEPTED = 'accepted'
@@ -65,22 +65,22 @@
     queue: str,
     outcome: str,
     seconds: float,
-    **more: object,
+    **fields: object,
 ) -> None:
-    """Count and log what became of a caller's call.
+    """Record the outcome of a caller's call in metrics and log.
 
     Parameters
     ----------
     call : str
         ``submit``, ``find`` or ``cancel``.
     id, queue : str
-        Which job, and where it belongs.
+        The job and its queue.
     outcome : str
-        What the caller is told.
+        The outcome reported to the caller.
     seconds : float
-        From the call to its answer.
-    **more : object
-        What else decided it.
+        Time from the call to its answer.
+    **fields : object
+        Further log fields.
     """
     metrics.REQUEST_SECONDS.record(seconds, call, outcome)
     logs.write_event(
@@ -90,7 +90,7 @@
         queue=queue,
         outcome=outcome,
         seconds=seconds,
-        **more,
+        **fields,
     )
 
 
@@ -100,15 +100,15 @@
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where accepted jobs are kept.
+        Where accepted jobs are stored.
     links : persimmonsail.links.Links
-        To the leader's entry.
+        Connections to the leader's entry.
     find_leader : callable
         Returns the leader's address; empty while none is known.
-    get_own : callable
+    get_local_leader : callable
         Returns the leader if it runs in this process.
     capacities : persimmonsail.jobs.capacities.Capacities
-        How large instances are.
+        The observed capacities of instances.
     advised : bool
         Whether this deployment has an advisor.
     """
@@ -118,7 +118,7 @@
         store: store_module.TransactionalStore,
         links: links_module.Links,
         find_leader: t.Callable[[], str],
-        get_own: t.Callable[[], 'leader_module.Leader | None'],
+        get_local_leader: t.Callable[[], 'leader_module.Leader | None'],
         capacities: capacities_module.Capacities,
         advised: bool = False,
     ) -> None:
@@ -127,27 +127,29 @@
         self._store = store
         self._links = links
         self._find_leader = find_leader
-        self._get_own = get_own
-        self._counts = counts.Counts(store, self._call_leader, get_own)
+        self._get_local_leader = get_local_leader
+        self._counts = counts.Counts(
+            store, self._call_leader, get_local_leader
+        )
 
     async def submit(
         self,
         id: str,
         queue: queues.Queue,
         specification: specification_module.Specification,
-        until: float,
+        deadline: float,
     ) -> Outcome:
-        """Store a job, once.
+        """Store a job; a repeated submission has no further effect.
 
         Parameters
         ----------
         id : str
-            The caller's name for it.
+            The caller's id of the job.
         queue : persimmonsail.jobs.queues.Queue
-            Where it belongs.
+            The job's queue.
         specification : persimmonsail.jobs.specification.Specification
-            A checked one.
-        until : float
+            The job's specification, already checked.
+        deadline : float
             When the caller stops waiting, on ``clock``.
 
         Raises
@@ -170,20 +172,21 @@
             message = fleet_pb2.SubmitQuery(
                 job=id, queue=queue.name, submission=text
             )
-            return await self._pass_on('Submit', message, until)
-        return await self.store_job(id, text, until)
+            return await self._forward('Submit', message, deadline)
+        return await self.store_job(id, text, deadline)
 
-    async def store_job(self, id: str, text: str, until: float) -> Outcome:
-        """Write a job's key, and find out whether it is there."""
+    async def store_job(self, id: str, text: str, deadline: float) -> Outcome:
+        """Write a job's key, retrying until the outcome is known."""
         if self._store.is_lost:
-            # To send it all the same would only make its fate unknown: a
-            # caller may ask elsewhere after a refusal, but not after that.
+            # Sending the write would make the outcome unknown. After a
+            # refusal, the caller may use another entry; after an unknown
+            # outcome, it may not.
             logs.write_event('submit-refused', job=id, error='store lost')
             return Outcome.REFUSED
-        sent = False
+        maybe_sent = False
         key = record.JOBS + id
-        # Of a cancelled job nothing may begin, also where the store carries
-        # the submission out after the cancel.
+        # A cancelled job must never start, even if the store executes the
+        # submission after the cancellation.
         conditions = {key: 0, record.CANCELS + id: 0}
         while True:
             try:
@@ -191,15 +194,15 @@
                     conditions, [store_module.Write(key, text)]
                 )
             except exceptions.TransactionConflict as error:
-                known = key in error.found
-                return Outcome.ACCEPTED if known else Outcome.CANCELLED
+                stored = key in error.found
+                return Outcome.ACCEPTED if stored else Outcome.CANCELLED
             except exceptions.CallRefused as error:
-                # Nothing of this call; an earlier one may yet take effect.
+                # This write had no effect; an earlier one may still succeed.
                 logs.write_event('submit-refused', job=id, error=error)
-                if not sent:
+                if not maybe_sent:
                     return Outcome.REFUSED
             except exceptions.StoreUnavailable as error:
-                sent = True
+                maybe_sent = True
                 logs.write_event(
                     'submit-unanswered',
                     job=id,
@@ -207,23 +210,23 @@
                     store_silent=self._store.silent_seconds,
                 )
             else:
-                own = self._get_own()
-                if own is not None and own.loaded:
-                    own.note_job(id, text)
+                leader = self._get_local_leader()
+                if leader is not None and leader.loaded:
+                    leader.note_job(id, text)
                 return Outcome.ACCEPTED
-            if self._is_hopeless(until):
+            if self._should_abandon(deadline):
                 return Outcome.UNKNOWN
-            await anyio.sleep(_PAUSE_SECONDS)
+            await anyio.sleep(_RETRY_PAUSE_SECONDS)
 
-    async def cancel(self, id: str, until: float) -> Outcome:
-        """Mark a job as cancelled, for good."""
+    async def cancel(self, id: str, deadline: float) -> Outcome:
+        """Mark a job as permanently cancelled."""
         if self._store.is_lost:
             message = fleet_pb2.CancelQuery(job=id)
-            return await self._pass_on('Cancel', message, until)
-        return await self.store_cancel(id, until)
+            return await self._forward('Cancel', message, deadline)
+        return await self.store_cancel(id, deadline)
 
-    async def store_cancel(self, id: str, until: float) -> Outcome:
-        """Write the mark of a cancel, and find out whether it is there."""
+    async def store_cancel(self, id: str, deadline: float) -> Outcome:
+        """Write a cancellation marker, retrying until it is stored."""
         while True:
             try:
                 return await self._cancel_once(id)
@@ -234,36 +237,36 @@
                     error=error,
                     store_silent=self._store.silent_seconds,
                 )
-            if self._is_hopeless(until):
+            if self._should_abandon(deadline):
                 return Outcome.UNKNOWN
-            await anyio.sleep(_PAUSE_SECONDS)
+            await anyio.sleep(_RETRY_PAUSE_SECONDS)
 
-    def _is_hopeless(self, until: float) -> bool:
-        """Tell whether to give a write up: its caller may ask again at once.
+    def _should_abandon(self, deadline: float) -> bool:
+        """Tell whether to abandon a write, so that its caller can retry.
 
-        A store that is lost stays so for seconds, or only this entry has
-        lost it. Holding the call until its deadline would only cost the
-        caller the time to go elsewhere, where the same id is the same job.
+        A lost store stays lost for seconds, or is lost to this entry only.
+        Waiting for the deadline would cost the caller the time to retry
+        on another entry, where the same id denotes the same job.
         """
         if self._store.is_lost:
             return True
-        return clock.read() + _PAUSE_SECONDS >= until
+        return clock.read() + _RETRY_PAUSE_SECONDS >= deadline
 
-    async def _pass_on(
-        self, method: str, message: t.Any, until: float
+    async def _forward(
+        self, method: str, message: t.Any, deadline: float
     ) -> Outcome:
-        """Have the leader's entry do what needs the store.
+        """Forward a request that needs the store to the leader's entry.
 
-        The store may turn some machines away and serve the others.
+        The store may be unreachable from some machines only.
         """
         address = self._find_leader()
-        if not address or self._get_own() is not None:
+        if not address or self._get_local_leader() is not None:
             return Outcome.REFUSED
-        wait = min(max(until - clock.read(), 0.0), _PEER_SECONDS)
-        message.wait_seconds = wait
+        timeout = min(max(deadline - clock.read(), 0.0), _PEER_TIMEOUT_SECONDS)
+        message.wait_seconds = timeout
         try:
             reply = await self._links.call(
-                address, fleet_grpc.LeaderStub, method, message, wait
+                address, fleet_grpc.LeaderStub, method, message, timeout
             )
         except exceptions.LinkRefused as error:
             logs.write_event('leader-unheard', error=error)
@@ -274,63 +277,63 @@
         return Outcome(reply.outcome)
 
     async def _cancel_once(self, id: str) -> Outcome:
-        """Write the mark, then look whether there is a job.
+        """Write the cancellation marker, then check for the job.
 
-        In this order, since a submission may still be on its way: from the
-        mark on it is not stored any more.
+        The order matters, since a submission may still be in flight: once
+        the marker is written, it can't be stored any more.
         """
-        mark = record.StoredCancel(
+        marker = record.StoredCancel(
             cancelled_ms=round(time.time() * _MILLISECONDS)
         ).model_dump_json()
         try:
-            await self._store.put(record.CANCELS + id, mark, expected=0)
+            await self._store.put(record.CANCELS + id, marker, expected=0)
         except exceptions.Conflict:
             logs.write_event('cancel-repeated', job=id)
-        own = self._get_own()
-        if own is not None and own.loaded:
-            own.note_cancel(id, mark)
+        leader = self._get_local_leader()
+        if leader is not None and leader.loaded:
+            leader.note_cancel(id, marker)
         if await self._store.get(record.JOBS + id) is None:
             return Outcome.ABSENT
         return Outcome.ACCEPTED
 
     async def find_state(
-        self, id: str, until: float
+        self, id: str, deadline: float
     ) -> record.JobState | Outcome:
         """Return a job's committed state.
 
         ``ABSENT`` is only returned when the store itself has no such job;
-        ``UNKNOWN`` when neither store nor leader could be asked in time.
-
-        A store that was answering when the call came, and falls silent,
-        is asked again until the caller's time is over, each time without
-        waiting for the answers before: 'silent for a second' is not
-        'down', and giving up then turned callers away who had 1.9 s left
-        when the answer was to be had. One that was lost before is asked
-        once: it stays so for seconds, and a caller does better elsewhere.
+        ``UNKNOWN`` when neither store nor leader answered in time.
+
+        If the store stops answering during the call, the read is repeated
+        until the caller's deadline without waiting for earlier answers: a
+        store that is silent for a second may return, and an early failure
+        refused callers who still had 1.9 s left when it did. A store that
+        was lost before the call is read once: it stays lost for seconds,
+        and the caller should use another entry.
         """
         if self._store.is_lost:
-            found = await self._try_find(id)
+            found = await self._find_once(id)
             return Outcome.UNKNOWN if found is None else found
-        # A caller without time of its own gets one try.
-        until = max(until, clock.read() + _ASK_AGAIN_SECONDS)
+        # A caller whose deadline has passed gets one try.
+        deadline = max(deadline, clock.read() + _READ_RETRY_SECONDS)
         answers: list[record.JobState | Outcome] = []
         async with anyio.create_task_group() as group:
 
-            async def try_once() -> None:
-                found = await self._try_find(id)
+            async def find_once() -> None:
+                found = await self._find_once(id)
                 if found is not None:
                     answers.append(found)
                     group.cancel_scope.cancel()
 
-            while clock.read() < until:
-                group.start_soon(try_once)
-                left = until - clock.read()
-                await anyio.sleep(min(_ASK_AGAIN_SECONDS, left))
+            while clock.read() < deadline:
+                group.start_soon(find_once)
+                remaining = deadline - clock.read()
+                await anyio.sleep(min(_READ_RETRY_SECONDS, remaining))
             group.cancel_scope.cancel()
         return answers[0] if answers else Outcome.UNKNOWN
 
-    async def _try_find(self, id: str) -> record.JobState | Outcome | None:
-        """Ask the store once, then the leader; return nothing for none."""
+    async def _find_once(self, id: str) -> record.JobState | Outcome | None:
+        """Query the store once, then the leader; None without an answer."""
         try:
             return await self._read_state(id)
         except exceptions.StoreUnavailable as error:
@@ -340,12 +343,12 @@
                 error=error,
                 store_silent=self._store.silent_seconds,
             )
-        return await self._ask_leader(id)
+        return await self._query_leader(id)
 
     async def _read_state(self, id: str) -> record.JobState | Outcome:
-        own = self._get_own()
-        if own is not None and own.loaded and id in own.board.jobs:
-            state = own.board.jobs[id].committed_state
+        leader = self._get_local_leader()
+        if leader is not None and leader.loaded and id in leader.board.jobs:
+            state = leader.board.jobs[id].committed_state
             if state.phase.is_final:
                 return state
         item = await self._store.get(record.PROGRESS + id)
@@ -360,10 +363,10 @@
             return record.JobState(record.JobPhase.QUEUED)
         return Outcome.ABSENT
 
-    async def _ask_leader(self, id: str) -> record.JobState | None:
-        own = self._get_own()
-        if own is not None:
-            job = own.board.jobs.get(id)
+    async def _query_leader(self, id: str) -> record.JobState | None:
+        leader = self._get_local_leader()
+        if leader is not None:
+            job = leader.board.jobs.get(id)
             return job.committed_state if job else None
         reply = await self._call_leader('FindJob', fleet_pb2.JobQuery(job=id))
         if reply is None or not reply.known:
@@ -372,13 +375,17 @@
         return record.JobState(phase, reply.reason)
 
     async def _call_leader(self, method: str, query: t.Any) -> t.Any:
-        """Ask the leader's entry; return nothing if it is not heard."""
+        """Call the leader's entry; return None without an answer."""
         address = self._find_leader()
         if not address:
             return None
         try:
             return await self._links.call(
-                address, fleet_grpc.LeaderStub, method, query, _PEER_SECONDS
+                address,
+                fleet_grpc.LeaderStub,
+                method,
+                query,
+                _PEER_TIMEOUT_SECONDS,
             )
         except exceptions.LinkLost as error:
             logs.write_event('leader-unheard', error=error)
@@ -387,6 +394,6 @@
     async def count_pending(self, queue: str) -> int | None:
         """Return how many jobs of a queue wait for their first task.
 
-        Nothing is returned when neither leader nor store answers.
+        None is returned when neither leader nor store answers.
         """
         return await self._counts.count(queue)
--- a/src/persimmonsail/jobs/queues.py
+++ b/src/persimmonsail/jobs/queues.py
@@ -1,31 +1,32 @@
-"""The operators' queues and services, as a process last learnt them."""
+"""The operators' queues and services, as last read by a process."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Queue:
-    """Where callers submit jobs of one kind.
+    """A queue, to which callers submit jobs of one kind.
 
     Attributes
     ----------
     name : str
         The operators' name for it.
     host, prefix : str
-        Which requests are for this queue.
+        Requests to this host and path prefix are for this queue.
     service : str
         The service whose instances run its tasks.
     priority : int
-        0 comes first.
+        The priority of its jobs; 0 is the highest.
     max_attempts : int
-        A job fails once one of its tasks has failed so often.
+        A job fails once one of its tasks has failed this many times.
     slack_factor : float
         A job's objective is this many times its critical path, and
         ``target_ms`` more.
     target_ms : int
         See ``slack_factor``.
     advised : bool
-        Whether a service has to name the instances that may run a step.
+        Whether an external advisor has to name the instances that may
+        run a step.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """What callers' requests may be at the most."""
+    """Limits of callers' requests."""
 
     body_bytes: int = 262144
     idle_seconds: float = 15.0
@@ -57,12 +58,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """One version of everything that operators configure.
+    """One version of the operators' configuration.
 
     Attributes
     ----------
     version : int
-        Rises with each change, in uneven steps.
+        Increases with each change, not necessarily by 1.
     """
 
     version: int
@@ -72,34 +73,34 @@
 
     def find_queue(self, host: str, path: str) -> Queue | None:
         """Return the queue with the longest prefix of the path."""
-        fitting = [
+        matching = [
             queue
             for queue in self.queues
             if queue.host == host and path.startswith(queue.prefix)
         ]
-        return max(fitting, key=lambda q: len(q.prefix), default=None)
+        return max(matching, key=lambda q: len(q.prefix), default=None)
 
 
 class View:
-    """The newest configuration that this process has seen."""
+    """The newest configuration that this process has received."""
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
-        # Queues by name, removed ones too: their jobs go on.
+        # Queues by name, including removed ones, whose jobs continue.
         self.seen: dict[str, Queue] = {}
 
     def remember(self, queue: Queue) -> None:
-        """Note a queue of an accepted job, unless it is known."""
+        """Add the queue of an accepted job unless it is present."""
         self.seen.setdefault(queue.name, queue)
 
     def offer(self, configuration: Configuration) -> bool:
-        """Take a configuration over unless a newer one is in force.
+        """Apply a configuration unless a newer one is in force.
 
-        A delayed answer may carry an old version; to apply it would
-        bring removed queues back.
+        A delayed answer may carry an old version, which would restore
+        removed queues.
         """
-        known = self.current
-        if known is not None and configuration.version <= known.version:
+        current = self.current
+        if current is not None and configuration.version <= current.version:
             return False
         self.current = configuration
         self.seen.update((queue.name, queue) for queue in configuration.queues)
--- a/src/persimmonsail/jobs/specification.py
+++ b/src/persimmonsail/jobs/specification.py
@@ -1,4 +1,4 @@
-"""What a job consists of, as its caller submitted it."""
+"""The specification of a job, as submitted by its caller."""
 
 import dataclasses
 import functools
@@ -9,21 +9,21 @@
 from persimmonsail import exceptions
 
 MAX_PAYLOAD_BYTES = 4000
-# A step of more tasks would not fit into one value of the store with
-# every task's state (about 60 bytes each).
+# The state of all tasks, about 60 bytes each, has to fit into one value of
+# the store.
 MAX_TASKS = 5000
 MAX_STEPS = 200
 
 
-# A field that isn't known may change what a job means; to run the job
-# without it would be worse than a clear answer.
-_STRICT = pydantic.ConfigDict(extra='forbid')
+# Unknown fields are rejected: running the job without one could change what
+# it means, which is worse than a clear error.
+_FORBID_EXTRA = pydantic.ConfigDict(extra='forbid')
 
 
-@pydantic.with_config(_STRICT)
+@pydantic.with_config(_FORBID_EXTRA)
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """What one task needs, or an instance has.
+    """The resources of a task or an instance.
 
     Attributes
     ----------
@@ -53,16 +53,16 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room: 'Size') -> bool:
-        """Tell whether this much is free in ``room``."""
+    def fits(self, free: 'Size') -> bool:
+        """Tell whether this size fits into ``free``."""
         return (
-            self.millicores <= room.millicores
-            and self.memory_mib <= room.memory_mib
-            and self.accelerators <= room.accelerators
+            self.millicores <= free.millicores
+            and self.memory_mib <= free.memory_mib
+            and self.accelerators <= free.accelerators
         )
 
 
-@pydantic.with_config(_STRICT)
+@pydantic.with_config(_FORBID_EXTRA)
 @dataclasses.dataclass(frozen=True)
 class Step:
     """Tasks of one kind, which may start once earlier steps are done.
@@ -70,38 +70,38 @@
     Attributes
     ----------
     count : int
-        How many tasks the step has.
+        The number of tasks.
     size : Size
-        What each of them needs.
+        The resources of each task.
     estimate_ms : int
         The caller's rough estimate of a task's duration.
     after : tuple of int
-        Earlier steps, counted from 0, that must be done first.
+        Indices of earlier steps that must be done first, from 0.
     checkpoints : bool
         Whether a task saves its progress and can resume from it.
     gang : bool
-        Whether the tasks work only while all of them run.
+        Whether the tasks only make progress while all of them run.
     same_rack : bool
         Whether a gang is slower on more than one rack.
     label : str
         A label that the instance must have; empty for any.
     data_rack : str
-        The rack where the data lies; empty for none.
+        The rack that holds the data; empty for none.
     most_per_instance : int
-        At most so many tasks of the step on one instance; 0 for any.
+        Maximum number of the step's tasks per instance; 0 for no limit.
     speculative : bool
         Whether copies of a task may run in parallel.
     long_running : bool
         Whether the tasks run until the job is cancelled.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        The image that the tasks run; tasks of an image behave alike.
     latency_target_ms : int
-        The tail latency that a serving task has to stay below; 0: none.
+        Upper limit for the tail latency of a serving task; 0 for none.
     best_effort_cpu : bool
-        Whether the tasks only take processors that others leave unused.
+        Whether the tasks only use processors that others leave unused.
     disruption_budget : int
-        How many of its tasks may be away at once by our own doing; 0
-        where the caller sets no such budget.
+        How many of its tasks the scheduler may disrupt at the same time;
+        0 if the caller sets no budget.
     """
 
     count: int
@@ -128,25 +128,25 @@
 
     @functools.cached_property
     def committed(self) -> Size:
-        """What a task takes of an instance's capacity."""
+        """The part of an instance's capacity committed to a task."""
         if self.best_effort_cpu:
             return dataclasses.replace(self.size, millicores=0)
         return self.size
 
 
-@pydantic.with_config(_STRICT)
+@pydantic.with_config(_FORBID_EXTRA)
 @dataclasses.dataclass(frozen=True)
 class Specification:
-    """A job: its steps, and how often they run.
+    """A job: its steps and its schedule.
 
     Attributes
     ----------
     payload : str
-        Handed to every task as it is.
+        Passed unchanged to every task.
     steps : tuple of Step
-        In the order in which they were submitted.
+        The steps, in the order of submission.
     occurrences : int
-        How often the steps run; 0 for a job without a schedule.
+        How many times the steps run; 0 for a job without a schedule.
     first_ms, interval_ms : int
         When the first occurrence is due, in milliseconds since the
         epoch, and the time between two of them.
@@ -160,12 +160,12 @@
 
     @property
     def task_count(self) -> int:
-        """How many tasks the job has over all occurrences."""
-        each = sum(step.count for step in self.steps)
-        return each * max(1, self.occurrences)
+        """The number of tasks over all occurrences."""
+        per_occurrence = sum(step.count for step in self.steps)
+        return per_occurrence * max(1, self.occurrences)
 
     def find_due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence may begin; 0 for a job without any."""
+        """Return when an occurrence may start; 0 without a schedule."""
         if not self.occurrences:
             return 0
         return self.first_ms + occurrence * self.interval_ms
@@ -175,8 +175,8 @@
         """The estimated time of the longest chain of steps."""
         ends: list[int] = []
         for step in self.steps:
-            begun = max((ends[index] for index in step.after), default=0)
-            ends.append(begun + step.estimate_ms)
+            start = max((ends[index] for index in step.after), default=0)
+            ends.append(start + step.estimate_ms)
         return max(ends, default=0)
 
     @functools.cached_property
@@ -189,12 +189,12 @@
 
 
 def decode_json(body: bytes) -> Specification:
-    """Read a submission in the product's own form.
+    """Decode a submission in the native JSON format.
 
     Raises
     ------
     persimmonsail.exceptions.JobInvalid
-        With every field that is wrong, and its place.
+        With every invalid field and its location.
     """
     try:
         return _ADAPTER.validate_json(body)
@@ -203,15 +203,15 @@
 
 
 def describe_errors(error: pydantic.ValidationError) -> str:
-    """Return everything that is wrong in a body, each with its place."""
+    """Return all errors of a body, each with its location."""
     return '; '.join(
-        f'{_name_place(detail["loc"])}: {detail["msg"]}'
+        f'{_format_location(detail["loc"])}: {detail["msg"]}'
         for detail in error.errors(include_input=False, include_url=False)
     )
 
 
-def _name_place(place: t.Iterable[t.Any]) -> str:
-    return '.'.join(str(part) for part in place) or 'body'
+def _format_location(location: t.Iterable[t.Any]) -> str:
+    return '.'.join(str(part) for part in location) or 'body'
 
 
 def encode(specification: Specification) -> dict[str, t.Any]:
@@ -222,23 +222,23 @@
 
 
 def decode(data: t.Any) -> Specification:
-    """Read what ``encode`` returned.
+    """Decode the output of ``encode``.
 
     Raises
     ------
     pydantic.ValidationError
-        If it is something else.
+        If the data is invalid.
     """
     return _ADAPTER.validate_python(data)
 
 
 def check(specification: Specification) -> None:
-    """Raise one error that names everything wrong with a submission.
+    """Check a submission and raise one error with all findings.
 
     Raises
     ------
     persimmonsail.exceptions.JobInvalid
-        With each finding and its place.
+        With each finding and its location.
     """
     findings = [*_check_job(specification)]
     for index, step in enumerate(specification.steps):
@@ -278,7 +278,7 @@
     ):
         if value < 0:
             yield f'{name}: below 0'
-    # Only earlier steps may be named, so that no cycle can be written.
+    # Only earlier steps may be referenced, which rules out cycles.
     for earlier in step.after:
         if not 0 <= earlier < index:
             yield f'after: {earlier} is no earlier step'
--- a/tests/jobs/test_counts.py
+++ b/tests/jobs/test_counts.py
@@ -6,8 +6,8 @@
 from tests import base
 
 
-class KeptStore:
-    """A store with queued jobs of two queues; a scan takes its time."""
+class SlowStore:
+    """A store with queued jobs of two queues and slow scans."""
 
     is_lost = False
 
@@ -33,40 +33,40 @@
     ).model_dump_json()
 
 
-async def call_nobody(method, query):
-    """Stand for a leader that is not heard."""
+async def call_unreachable_leader(method, query):
+    """Stand in for an unreachable leader."""
     return None
 
 
 def make_counts(store):
-    return counts.Counts(store, call_nobody, lambda: None)
+    return counts.Counts(store, call_unreachable_leader, lambda: None)
 
 
 class CountsTest(base.TestCase):
-    async def count(self, own, queue, found):
-        found[queue] = await own.count(queue)
+    async def count(self, tested, queue, found):
+        found[queue] = await tested.count(queue)
 
     async def test_counts_share_what_is_read_from_the_store(self):
-        """A leader that has just been elected loads its jobs for ever.
+        """Counts must not keep a newly elected leader from loading jobs.
 
-        Each count that callers asked its entry for read all jobs from the
-        store, too, over the same link, and none of them came to its end.
+        Each count requested from its entry also read all jobs from the
+        store, over the same link, and none of the reads finished.
         """
-        store = KeptStore(seconds=0.1)
-        own = make_counts(store)
+        store = SlowStore(seconds=0.1)
+        tested = make_counts(store)
         found = {}
         async with anyio.create_task_group() as group:
             for queue in ('one', 'two', 'three'):
-                group.start_soon(self.count, own, queue, found)
+                group.start_soon(self.count, tested, queue, found)
         self.assertEqual({'one': 1, 'two': 2, 'three': 0}, found)
         self.assertEqual([record.JOBS, record.PROGRESS], store.scans)
 
     async def test_a_count_that_would_be_too_old_is_not_told(self):
-        store = KeptStore(seconds=1.0)
-        own = make_counts(store)
+        store = SlowStore(seconds=1.0)
+        tested = make_counts(store)
         found = {}
         async with anyio.create_task_group() as group:
-            group.start_soon(self.count, own, 'one', found)
+            group.start_soon(self.count, tested, 'one', found)
             await anyio.sleep(0.1)
-            group.start_soon(self.count, own, 'two', found)
+            group.start_soon(self.count, tested, 'two', found)
         self.assertEqual({'one': 1, 'two': None}, found)
--- a/tests/jobs/test_gateway.py
+++ b/tests/jobs/test_gateway.py
@@ -25,7 +25,7 @@
 
 
 class IntakeStub:
-    """Stands for the intake: one outcome for all calls."""
+    """Stands in for the intake with one outcome for all calls."""
 
     def __init__(self):
         self.outcome = intake.Outcome.ACCEPTED
@@ -33,20 +33,20 @@
         self.pending = 3
         self.submitted = []
 
-    async def submit(self, id, queue, found, until):
-        self.submitted.append((id, queue, found))
-        return self._end(self.outcome)
+    async def submit(self, id, queue, submitted, deadline):
+        self.submitted.append((id, queue, submitted))
+        return self._return(self.outcome)
 
-    async def cancel(self, id, until):
-        return self._end(self.outcome)
+    async def cancel(self, id, deadline):
+        return self._return(self.outcome)
 
-    async def find_state(self, id, until):
-        return self._end(self.phase)
+    async def find_state(self, id, deadline):
+        return self._return(self.phase)
 
     async def count_pending(self, queue):
-        return self._end(self.pending)
+        return self._return(self.pending)
 
-    def _end(self, outcome):
+    def _return(self, outcome):
         if isinstance(outcome, Exception):
             raise outcome
         return outcome
@@ -102,46 +102,48 @@
 
     async def test_a_caller_reads_why_a_job_has_failed(self):
         failed = record.JobState(record.JobPhase.FAILED, 'it crashed agents')
-        for state, told in ((failed, 'it crashed agents'), (None, None)):
+        for state, reason in ((failed, 'it crashed agents'), (None, None)):
             if state is not None:
                 self.intake.phase = state
             else:
                 self.intake.phase = record.JobState(record.JobPhase.ACTIVE)
-            answer = await self.client.get(
+            response = await self.client.get(
                 f'/v1/queues/builds/jobs/{cases.ID}'
             )
-            self.assertEqual(told, answer.json().get('reason'))
+            self.assertEqual(reason, response.json().get('reason'))
 
     async def test_a_job_is_submitted_found_and_cancelled(self):
-        answer = await self.put(BODY, 202)
-        self.assertEqual(ONE_JOB, answer.headers['location'])
+        response = await self.put(BODY, 202)
+        self.assertEqual(ONE_JOB, response.headers['location'])
         ((id, queue, found),) = self.intake.submitted
         self.assertEqual(('nightly-17', 'builds'), (id, queue.name))
         self.assertEqual((0,), found.steps[1].after)
-        answer = await self.send('GET')
-        self.assertEqual('active', answer.json()['phase'])
-        answer = await self.send('DELETE')
-        self.assertEqual(202, answer.status_code)
-        answer = await self.send('GET', '/v1/queues/builds', QUEUE)
-        self.assertEqual(3, answer.json()['pending'])
-
-    async def test_a_job_that_was_cancelled_before_is_refused_for_good(self):
+        response = await self.send('GET')
+        self.assertEqual('active', response.json()['phase'])
+        response = await self.send('DELETE')
+        self.assertEqual(202, response.status_code)
+        response = await self.send('GET', '/v1/queues/builds', QUEUE)
+        self.assertEqual(3, response.json()['pending'])
+
+    async def test_a_job_that_was_cancelled_before_is_refused_permanently(
+        self,
+    ):
         self.intake.outcome = intake.Outcome.CANCELLED
-        answer = await self.put(BODY, 422)
-        self.assertEqual('not-run', answer.json()['work'])
-        self.assertNotIn('retry-after', answer.headers)
+        response = await self.put(BODY, 422)
+        self.assertEqual('not-run', response.json()['work'])
+        self.assertNotIn('retry-after', response.headers)
 
     async def test_bad_input_is_refused_with_every_place(self):
         bad = {
             'payload': 'x',
             'steps': [{'count': 0, 'after': [0]}, {'count': 1, 'cores': 3}],
         }
-        answer = await self.put(bad, 422)
-        self.assertIn('steps.1.cores', answer.json()['detail'])
+        response = await self.put(bad, 422)
+        self.assertIn('steps.1.cores', response.json()['detail'])
         del bad['steps'][1]['cores']
-        answer = await self.put(bad, 422)
+        response = await self.put(bad, 422)
         for place in ('steps[0].count', 'steps[0].after'):
-            self.assertIn(place, answer.json()['detail'])
+            self.assertIn(place, response.json()['detail'])
         await self.put('no json', 422)
         await self.put(BODY, 422, '/v1/queues/builds/jobs/two.dots')
         await self.put(BODY, 404, '/v1/queues/other/jobs/nightly-17')
@@ -149,10 +151,10 @@
         self.assertEqual([], self.intake.submitted)
 
     async def test_a_body_that_is_too_large_is_read_to_its_end(self):
-        """An upload of some megabytes ends in a reset connection.
+        """The upload of a large body must not end in a connection reset.
 
-        The entry answered before it had read the body, so that the
-        caller never got to read the answer.
+        The entry responded before it had read the body, so the caller could
+        not read the response.
         """
         limit = self.view.current.limits.body_bytes
         unread = [b'x' * limit] * 8
@@ -169,39 +171,39 @@
     async def test_every_outcome_says_whether_anything_was_done(self):
         self.intake.outcome = intake.Outcome.REFUSED
         for method in ('PUT', 'DELETE'):
-            answer = await self.send(method, content=json.dumps(BODY))
-            self.assertEqual(503, answer.status_code)
-            self.assertEqual('not-run', answer.json()['work'])
-            self.assertEqual('1', answer.headers['retry-after'])
+            response = await self.send(method, content=json.dumps(BODY))
+            self.assertEqual(503, response.status_code)
+            self.assertEqual('not-run', response.json()['work'])
+            self.assertEqual('1', response.headers['retry-after'])
         self.intake.outcome = intake.Outcome.UNKNOWN
         self.intake.phase = intake.Outcome.UNKNOWN
         self.intake.pending = None
         for method in ('PUT', 'DELETE'):
-            answer = await self.send(method, content=json.dumps(BODY))
-            self.assertEqual(504, answer.status_code)
-            self.assertEqual('unknown', answer.json()['work'])
+            response = await self.send(method, content=json.dumps(BODY))
+            self.assertEqual(504, response.status_code)
+            self.assertEqual('unknown', response.json()['work'])
         for path, template in (
             (ONE_JOB, JOB),
             ('/v1/queues/builds', QUEUE),
         ):
-            answer = await self.send('GET', path, template)
-            self.assertEqual(503, answer.status_code)
+            response = await self.send('GET', path, template)
+            self.assertEqual(503, response.status_code)
         self.intake.outcome = self.intake.phase = intake.Outcome.ABSENT
         for method in ('GET', 'DELETE'):
-            answer = await self.send(method)
-            self.assertEqual(404, answer.status_code)
+            response = await self.send(method)
+            self.assertEqual(404, response.status_code)
         self.intake.phase = RuntimeError('unforeseen')
-        answer = await self.send('GET')
-        self.assertEqual(500, answer.status_code)
-        self.assertEqual('unknown', answer.json()['work'])
+        response = await self.send('GET')
+        self.assertEqual(500, response.status_code)
+        self.assertEqual('unknown', response.json()['work'])
 
     async def test_an_entry_that_is_not_ready_says_so(self):
         for path in ('/health', '/ready', '/metrics'):
-            answer = await self.send('GET', path, path)
-            self.assertEqual(200, answer.status_code)
+            response = await self.send('GET', path, path)
+            self.assertEqual(200, response.status_code)
         self.ready = False
-        answer = await self.send('GET', '/ready', '/ready')
-        self.assertEqual(503, answer.status_code)
+        response = await self.send('GET', '/ready', '/ready')
+        self.assertEqual(503, response.status_code)
         self.view.current = None
-        answer = await self.put(BODY, 503)
-        self.assertEqual('not-run', answer.json()['work'])
+        response = await self.put(BODY, 503)
+        self.assertEqual('not-run', response.json()['work'])
--- a/tests/jobs/test_intake.py
+++ b/tests/jobs/test_intake.py
@@ -13,7 +13,7 @@
 
 
 class LostStore:
-    """A store that gave no answer lately; counts what is sent all the same."""
+    """An unreachable store that counts the writes sent to it."""
 
     is_lost = True
     silent_seconds = 5.0
@@ -26,7 +26,7 @@
 
 
 class HealthyStore:
-    """A store that answers; it keeps what it is given."""
+    """An in-memory store that answers immediately."""
 
     is_lost = False
     silent_seconds = 0.0
@@ -55,126 +55,128 @@
 
 
 class SilentStore:
-    """A store without any job, silent until it is told to speak.
+    """A store without jobs that doesn't answer until ``answers`` is set.
 
-    Like the real one it leaves for good what it was asked in its silence,
-    and counts as lost after a while of it.
+    Like the real one it never answers requests that it received before,
+    and counts as lost after a time-out.
     """
 
     def __init__(self, timeout, lost=False):
         self.timeout = timeout
         self.is_lost = lost
-        self.speaks = False
+        self.answers = False
         self.reads = 0
         self.silent_seconds = 0.0
 
     async def get(self, key):
         self.reads += 1
-        if not self.speaks:
+        if not self.answers:
             await anyio.sleep(self.timeout)
             self.is_lost = True
             raise exceptions.StoreUnavailable('silent')
 
 
-def make_intake(store, known=None):
-    known = known or capacities.Capacities()
-    return intake.Intake(store, None, lambda: '', lambda: None, known)
+def make_intake(store, observed=None):
+    observed = observed or capacities.Capacities()
+    return intake.Intake(store, None, lambda: '', lambda: None, observed)
 
 
 class IntakeTest(base.TestCase):
     async def test_what_can_never_run_is_refused_and_not_stored(self):
-        """A caller waits for a job that nothing can ever run.
+        """A job that can never run must be refused.
 
-        Its step is larger than any instance, or its queue needs an
-        advisor and there is none; it was accepted all the same.
+        Its step is larger than any instance, or its queue needs an advisor
+        and there is none. It used to be accepted, and its caller waited.
         """
         store = LostStore()
         store.is_lost = False
-        known = capacities.Capacities()
-        known.note(cases.QUEUE.service, specification.Size(500, 100))
-        own = make_intake(store, known)
-        found = specification.Specification('', (cases.make_step(),))
+        observed = capacities.Capacities()
+        observed.note(cases.QUEUE.service, specification.Size(500, 100))
+        tested = make_intake(store, observed)
+        unplaceable = specification.Specification('', (cases.make_step(),))
         for queue in (cases.QUEUE, cases.ADVISED):
             with testtools.ExpectedException(exceptions.JobInvalid):
-                await own.submit(cases.ID, queue, found, clock.read() + 5.0)
+                await tested.submit(
+                    cases.ID, queue, unplaceable, clock.read() + 5.0
+                )
         self.assertEqual(0, store.writes)
 
     async def test_a_job_that_was_cancelled_before_is_not_stored(self):
-        """A job begins that was cancelled while its submission was away."""
+        """A job cancelled before its submission arrives must not start."""
         store = HealthyStore()
-        own = make_intake(store)
-        until = clock.read() + 5.0
-        outcome = await own.store_cancel(cases.ID, until)
+        tested = make_intake(store)
+        deadline = clock.read() + 5.0
+        outcome = await tested.store_cancel(cases.ID, deadline)
         self.assertIs(intake.Outcome.ABSENT, outcome)
-        outcome = await own.store_job(cases.ID, '{}', until)
+        outcome = await tested.store_job(cases.ID, '{}', deadline)
         self.assertIs(intake.Outcome.CANCELLED, outcome)
         self.assertNotIn(record.JOBS + cases.ID, store.items)
-        outcome = await own.store_cancel(cases.ID, until)
+        outcome = await tested.store_cancel(cases.ID, deadline)
         self.assertIs(intake.Outcome.ABSENT, outcome)
 
-    async def test_a_repeated_call_is_told_the_same(self):
-        own = make_intake(HealthyStore())
-        until = clock.read() + 5.0
+    async def test_a_repeated_call_has_the_same_outcome(self):
+        tested = make_intake(HealthyStore())
+        deadline = clock.read() + 5.0
         for _ in range(2):
-            outcome = await own.store_job(cases.ID, '{}', until)
+            outcome = await tested.store_job(cases.ID, '{}', deadline)
             self.assertIs(intake.Outcome.ACCEPTED, outcome)
         for _ in range(2):
-            outcome = await own.store_cancel(cases.ID, until)
+            outcome = await tested.store_cancel(cases.ID, deadline)
             self.assertIs(intake.Outcome.ACCEPTED, outcome)
-        outcome = await own.store_job(cases.ID, '{}', until)
+        outcome = await tested.store_job(cases.ID, '{}', deadline)
         self.assertIs(intake.Outcome.ACCEPTED, outcome)
 
     async def test_a_job_passed_on_to_a_lost_store_is_refused_at_once(self):
-        """Callers give up although the store is back after 4 s.
+        """Callers must be able to retry if the store returns after 4 s.
 
-        Each entry passed the call on to the leader's, which tried a store
-        that it knew to be silent; so nobody could say that the job was
-        not accepted, and a caller may come back only after that word.
+        Each entry forwarded the call to the leader's, which tried a store
+        known to be silent. So the outcome was unknown, while a caller may
+        only retry elsewhere after a definite refusal.
         """
         store = LostStore()
-        own = make_intake(store)
-        until = clock.read() + 5.0
-        outcome = await own.store_job(cases.ID, '{}', until)
+        tested = make_intake(store)
+        deadline = clock.read() + 5.0
+        outcome = await tested.store_job(cases.ID, '{}', deadline)
         self.assertIs(intake.Outcome.REFUSED, outcome)
         self.assertEqual(0, store.writes)
 
     async def test_a_read_is_answered_as_soon_as_the_store_is_back(self):
-        """A caller is turned away for a store that is back at once.
+        """A read must not fail if the store returns before its deadline.
 
-        The store fell silent while the read was under way; it counted as
-        lost after the first try, although most of the caller's time was
-        left. What it was asked in its silence it never answers.
+        The store stopped answering during the read and counted as lost
+        after the first try, although most of the caller's time was left. It
+        never answers requests that it received while silent.
         """
         store = SilentStore(timeout=4.0)
-        own = make_intake(store)
-        begun = clock.read()
+        tested = make_intake(store)
+        started_at = clock.read()
         async with anyio.create_task_group() as group:
-            group.start_soon(self.assert_absent, own, begun + 30.0)
+            group.start_soon(self.assert_absent, tested, started_at + 30.0)
             await anyio.sleep(1.0)
-            store.speaks = True
-            back_at = clock.read()
-        # The first try would have gone on for 3 s.
-        self.assertLess(clock.read() - back_at, 2.0)
+            store.answers = True
+            restored_at = clock.read()
+        # The first try alone would have taken 3 s longer.
+        self.assertLess(clock.read() - restored_at, 2.0)
 
-    async def assert_absent(self, own, until):
-        found = await own.find_state(cases.ID, until)
+    async def assert_absent(self, tested, deadline):
+        found = await tested.find_state(cases.ID, deadline)
         self.assertIs(intake.Outcome.ABSENT, found)
 
     async def test_a_store_that_was_lost_is_asked_once(self):
-        """A caller waits out its deadline for nothing."""
+        """A caller must not wait until its deadline in vain."""
         store = SilentStore(timeout=0.1, lost=True)
-        own = make_intake(store)
-        found = await own.find_state(cases.ID, clock.read() + 30.0)
+        tested = make_intake(store)
+        found = await tested.find_state(cases.ID, clock.read() + 30.0)
         self.assertIs(intake.Outcome.UNKNOWN, found)
         self.assertEqual(1, store.reads)
 
     async def test_a_read_ends_with_its_callers_time(self):
         store = SilentStore(timeout=30.0)
-        own = make_intake(store)
+        tested = make_intake(store)
         with anyio.fail_after(20.0):
-            # One that allows no time at all gets one try.
+            # A caller without remaining time gets one try.
             for wait in (0.0, 0.7):
                 store.reads = 0
-                found = await own.find_state(cases.ID, clock.read() + wait)
+                found = await tested.find_state(cases.ID, clock.read() + wait)
                 self.assertIs(intake.Outcome.UNKNOWN, found)
                 self.assertGreater(store.reads, 0)
--- a/tests/jobs/test_specification.py
+++ b/tests/jobs/test_specification.py
@@ -13,8 +13,8 @@
                 cases.make_step(1, after=(0,), best_effort_cpu=True),
             ),
         )
-        again = specification.decode(specification.encode(found))
-        self.assertEqual(found, again)
+        decoded = specification.decode(specification.encode(found))
+        self.assertEqual(found, decoded)
 
     def test_all_findings_are_named_with_their_places(self):
         found = specification.Specification(
