--- a/src/persimmonsail/jobs/crashes.py
+++ b/src/persimmonsail/jobs/crashes.py
@@ -1,18 +1,19 @@
-"""Which task is held responsible when a worker's agent crashes under it.
-
-Load pattern: one task ends every agent that starts it, within milliseconds,
-and takes a dozen innocent runs with it each time. All of them have a crash
-to their name, and one of them did it. Agents also crash for reasons of
-their own, one at a time, by racks, or many at once.
-
-A crash is counted for a run that began shortly before it. It tells of a
-suspect if nothing else had begun within the time in which such crashes come,
-or if it was there at more of them than the few others. To have begun beside
-many that were never tried tells nothing: new bad tasks may be among them.
-Where many instances crash at once, most likely no task has done it, but
-several bad tasks may have: each task is excused so a few times only, and
-one that had begun last is tried apart before it begins beside others again.
-What follows for a task, suspects.py says.
+"""Attribution of worker agents' crashes to the tasks that were running.
+
+Load pattern: one task crashes every agent that starts it, within milliseconds,
+and ends a dozen unrelated runs each time. Every task that ran there is a
+suspect, but only one of them caused the crash. Agents also crash for other
+reasons, one at a time, by rack, or many simultaneously.
+
+A crash is counted for a run that began shortly before it. It is evidence
+against a suspect if no other run began within the time in which such crashes
+occur, or if that suspect was present at more crashes than the few others. A
+start among many runs that were never tried is no evidence, since other faulty
+tasks may be among them. If many instances crash simultaneously, a common cause
+outside the tasks is likely, but several faulty tasks may also be the cause.
+Each task is therefore excused only a few times, and a task that was the last
+to begin is tried in isolation before it is colocated with others again.
+``suspects.py`` defines the consequences for a task.
 """
 
 import dataclasses
@@ -28,30 +29,30 @@
 from persimmonsail import logs
 from persimmonsail import metrics
 
-# A run that had lasted for longer than this has nothing to do with its
-# agent's crash.
-_LONGEST_SECONDS = 20.0
-# So few runs that began just before a crash can each be tried apart, and are
-# hardly there by chance.
-_FEW = 4
-# One that was at fewer crashes before may have been there by chance.
-_LEAST_TOLD = 2
-# Runs that began within this time began together.
-_TOGETHER_SECONDS = 0.04
-# Agents that last answered within this time may have crashed together: each
-# is asked about as often.
-_MOMENT_SECONDS = 0.5
-# For how long a moment is kept to compare others with.
-_KEPT_SECONDS = 10.0
-# An agent that is silent for so long may have crashed, too: it is asked, and
-# its sidecar reports, each 0.45 s.
-_SILENT_SECONDS = 1.0
-# A task with so many crashes in a row, excused ones too, is excused no more.
-_MOST_EXCUSED = 3
-# With fewer instances than this crashing at once, it may be chance.
-_LEAST_AT_ONCE = 3
-# A line about a crash names so many other runs.
-_NAMED = 4
+# A run that lasted longer is not related to its agent's crash.
+_MAX_RUN_SECONDS = 20.0
+# Up to this many recent runs can each be tried in isolation, and are unlikely
+# to be present by chance.
+_MAX_RECENT_RUNS = 4
+# A task present at fewer previous crashes may have been there by chance.
+_MIN_CRASHES_AS_EVIDENCE = 2
+# Runs that began within this time count as having begun simultaneously.
+_SAME_START_SECONDS = 0.04
+# Agents whose last answers lie within this time may have crashed
+# simultaneously: this is about the interval at which each agent is polled.
+_GROUP_WINDOW_SECONDS = 0.5
+# How long a group is retained for comparison with later crashes.
+_GROUP_RETENTION_SECONDS = 10.0
+# An agent that has not answered for this long may have crashed too: it is
+# polled, and its sidecar reports, every 0.45 s.
+_MAX_SILENCE_SECONDS = 1.0
+# A task with this many crashes in a row, including excused ones, is not
+# excused again.
+_MAX_EXCUSED = 3
+# Fewer simultaneous crashes than this may be coincidence.
+_MIN_SIMULTANEOUS = 3
+# Maximum number of other runs named in a log line about a crash.
+_MAX_LOGGED_RUNS = 4
 _MILLISECONDS = 1000
 
 
@@ -59,40 +60,43 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Counted:
-    """A crash that was counted for a task, and may be excused later."""
+class _CountedCrash:
+    """A crash that was counted for a task and may be excused later."""
 
     task: job_module.Task
-    proved: bool
-    # Whether the task was among the last to begin there.
-    last: bool
+    is_proof: bool
+    # Whether no run of another job began there after this task.
+    began_last: bool
 
 
 @dataclasses.dataclass
-class _Moment:
-    """Crashes that may have one cause, and what was counted for them."""
+class _CrashGroup:
+    """Crashes that may have a common cause, and what was counted for them."""
 
     at: float
-    # When the first of them was heard of.
-    heard_at: float
+    # When the first of them was reported.
+    reported_at: float
     addresses: set[str] = dataclasses.field(default_factory=set)
-    counted: list[_Counted] = dataclasses.field(default_factory=list)
+    counted_crashes: list[_CountedCrash] = dataclasses.field(
+        default_factory=list
+    )
 
     def includes(
         self, address: str, at: float, began_at: float = -math.inf
     ) -> bool:
-        """Tell whether a crash may be of this moment.
+        """Return whether a crash may belong to this group.
 
-        An agent that crashes again does so at another one, however soon; so
-        does one under a run that began when these were known already.
+        A repeated crash of the same agent belongs to another group, however
+        soon it occurs. So does a crash under a run that began after this group
+        was first reported.
         """
-        if address in self.addresses or began_at > self.heard_at:
+        if address in self.addresses or began_at > self.reported_at:
             return False
-        return abs(at - self.at) <= _MOMENT_SECONDS
+        return abs(at - self.at) <= _GROUP_WINDOW_SECONDS
 
 
 class Tracker:
-    """Counts crashes for tasks, over all instances.
+    """Counts crashes for tasks, across all instances.
 
     Parameters
     ----------
@@ -109,25 +113,29 @@
     ) -> None:
         self._board = board
         self._list_fleet = list_fleet
-        self._moments: list[_Moment] = []
+        self._groups: list[_CrashGroup] = []
 
     def note(
         self, instance: instances.Instance, crash: fleet_pb2.Crash, now: float
     ) -> None:
-        """Take a crash in, before the runs that it ended are given up."""
+        """Record a crash, before the runs that it ended are marked as lost."""
         at = now - crash.ago_seconds
-        latest = min((run.seconds for run in crash.runs), default=math.inf)
-        moment = self._find_moment(instance.address, at, at - latest, now)
-        moment.addresses.add(instance.address)
+        shortest_seconds = min(
+            (run.seconds for run in crash.runs), default=math.inf
+        )
+        group = self._find_group(
+            instance.address, at, at - shortest_seconds, now
+        )
+        group.addresses.add(instance.address)
         suspects = self._list_suspects(crash)
-        crashed = moment.addresses | self._find_silent(moment, now)
-        if not self._is_at_once(crashed):
-            self._count_all(moment, instance, crash, suspects, now)
+        crashed = group.addresses | self._find_unreachable(group, now)
+        if not self._is_simultaneous(crashed):
+            self._count_suspects(group, instance, crash, suspects, now)
             return
-        self._withdraw(moment, now)
+        self._roll_back(group, now)
         excused = [row for row in suspects if _may_excuse(row[0])]
         for task, run in excused:
-            self._excuse(task, run, _is_last(task, run, crash))
+            self._excuse(task, run, _began_last(task, run, crash))
         logs.write_warning(
             'crash-at-once',
             instance=instance.address,
@@ -136,58 +144,65 @@
             runs=len(crash.runs),
             excused=len(excused),
         )
-        others = [row for row in suspects if row not in excused]
-        self._count_all(moment, instance, crash, others, now, telling=False)
+        remaining = [row for row in suspects if row not in excused]
+        self._count_suspects(
+            group, instance, crash, remaining, now, as_evidence=False
+        )
 
-    def _count_all(
+    def _count_suspects(
         self,
-        moment: _Moment,
+        group: _CrashGroup,
         instance: instances.Instance,
         crash: fleet_pb2.Crash,
         suspects: list[_Suspect],
         now: float,
-        telling: bool = True,
+        as_evidence: bool = True,
     ) -> None:
-        """Count a crash for whoever may have done it."""
-        few = sum(_is_just(run) for run in crash.runs) <= _FEW
-        tried = _find_tried(suspects, crash)
-        if tried is not None:
-            # Whoever else was there has nothing to do with it.
-            self._pass_over(suspects, tried)
-            suspects = [row for row in suspects if row[0] is tried]
-        told = _find_told(suspects, crash) if few else set()
+        """Count a crash for each task that may have caused it."""
+        few_recent = (
+            sum(_is_recent(run) for run in crash.runs) <= _MAX_RECENT_RUNS
+        )
+        isolated = _find_isolated(suspects, crash)
+        if isolated is not None:
+            # The isolated task explains the crash; the others are not related.
+            self._skip_others(suspects, isolated)
+            suspects = [row for row in suspects if row[0] is isolated]
+        proven = _find_most_frequent(suspects, crash) if few_recent else set()
         for task, run in suspects:
             alone = task.is_suspect and _is_alone(task, run, crash)
-            proved = telling and (alone or task.name in told)
-            last = _is_last(task, run, crash)
-            self._count(task, run, proved, few or last)
-            moment.counted.append(_Counted(task, proved, last))
+            is_proof = as_evidence and (alone or task.name in proven)
+            began_last = _began_last(task, run, crash)
+            self._count(task, run, is_proof, few_recent or began_last)
+            group.counted_crashes.append(
+                _CountedCrash(task, is_proof, began_last)
+            )
             wait = suspects_module.choose_wait(task, run.seconds)
             task.not_before = max(task.not_before, now + wait)
             task.avoid.add(instance.address)
             _log(instance, crash, task, run)
 
-    def _find_moment(
+    def _find_group(
         self, address: str, at: float, began_at: float, now: float
-    ) -> _Moment:
-        self._moments = [
-            moment
-            for moment in self._moments
-            if now - moment.at < _KEPT_SECONDS
+    ) -> _CrashGroup:
+        self._groups = [
+            group
+            for group in self._groups
+            if now - group.at < _GROUP_RETENTION_SECONDS
         ]
-        near = [
-            one for one in self._moments if one.includes(address, at, began_at)
+        candidates = [
+            one for one in self._groups if one.includes(address, at, began_at)
         ]
-        if near:
-            return min(near, key=lambda moment: abs(moment.at - at))
-        self._moments.append(_Moment(at, now))
-        return self._moments[-1]
+        if candidates:
+            return min(candidates, key=lambda group: abs(group.at - at))
+        self._groups.append(_CrashGroup(at, now))
+        return self._groups[-1]
 
     def _list_suspects(self, crash: fleet_pb2.Crash) -> list[_Suspect]:
-        """Return the tasks that may have done it and were not looked at.
+        """Return the tasks that may have caused a crash not yet counted.
 
-        A crash counts when it is learnt of, whoever led meanwhile; sidecars
-        tell each leader of theirs anew, so that one may come again.
+        A crash counts when it is reported, whichever leader was active when it
+        happened. Sidecars report their crashes to each new leader again, so
+        the same crash may be reported twice.
         """
         found = []
         for run in crash.runs:
@@ -199,7 +214,7 @@
                 continue
             if not state.crashes.run < run.run <= state.run:
                 continue
-            if run.seconds <= _LONGEST_SECONDS:
+            if run.seconds <= _MAX_RUN_SECONDS:
                 found.append((task, run))
         return found
 
@@ -207,94 +222,104 @@
         self,
         task: job_module.Task,
         run: fleet_pb2.CrashedRun,
-        proved: bool,
+        is_proof: bool,
         likely: bool,
     ) -> None:
-        """Count a crash for a task, one of a few that may have done it."""
+        """Count a crash for one of the tasks that may have caused it."""
         before = task.state.crashes
-        took_ms = round(run.seconds * _MILLISECONDS)
+        run_ms = round(run.seconds * _MILLISECONDS)
         crashes = before._replace(
             count=before.count + 1,
-            longest_ms=max(before.longest_ms, took_ms),
+            longest_ms=max(before.longest_ms, run_ms),
             run=run.run,
-            proofs=before.proofs + proved,
-            beside=not before.total and not (likely and _is_just(run)),
+            proofs=before.proofs + is_proof,
+            beside=not before.total and not (likely and _is_recent(run)),
         )
         self._board.note_crashes(task, crashes)
 
     def _excuse(
-        self, task: job_module.Task, run: fleet_pb2.CrashedRun, last: bool
+        self,
+        task: job_module.Task,
+        run: fleet_pb2.CrashedRun,
+        began_last: bool,
     ) -> None:
-        """Hold a crash of many at once against a task no more than this.
+        """Record one of many simultaneous crashes without counting it.
 
-        What began before others is hardly to blame, and waits for nothing,
-        unless it was there before.
+        A task that began before others is unlikely to be the cause, and is not
+        isolated unless it was present at an earlier crash.
         """
         before = task.state.crashes
-        took_ms = round(run.seconds * _MILLISECONDS)
+        run_ms = round(run.seconds * _MILLISECONDS)
         crashes = before._replace(
             excused=before.excused + 1,
-            longest_ms=max(before.longest_ms, took_ms),
+            longest_ms=max(before.longest_ms, run_ms),
             run=run.run,
-            beside=not (_is_just(run) and (last or before.total)),
+            beside=not (_is_recent(run) and (began_last or before.total)),
         )
         self._board.note_crashes(task, crashes)
 
-    def _pass_over(
+    def _skip_others(
         self,
         suspects: t.Sequence[_Suspect],
-        tried: job_module.Task,
+        isolated: job_module.Task,
     ) -> None:
-        """Have a crash not count for others when it is heard of again."""
+        """Record a crash as handled for all suspects but the isolated one.
+
+        Otherwise it would be counted for them when it is reported again.
+        """
         for task, run in suspects:
-            if task is tried:
+            if task is isolated:
                 continue
             if task.state.crashes.total and _may_excuse(task):
-                self._excuse(task, run, last=False)
+                self._excuse(task, run, began_last=False)
                 continue
             crashes = task.state.crashes._replace(run=run.run)
             self._board.note_crashes(task, crashes)
 
-    def _withdraw(self, moment: _Moment, now: float) -> None:
-        """Excuse what was counted for a crash of many at once."""
-        for counted in moment.counted:
+    def _roll_back(self, group: _CrashGroup, now: float) -> None:
+        """Excuse the counted crashes of a group that proved simultaneous."""
+        for counted in group.counted_crashes:
             task = counted.task
             crashes = task.state.crashes
-            if crashes.total > _MOST_EXCUSED or not crashes.count:
-                # Excused too often, or cleared meanwhile.
+            if crashes.total > _MAX_EXCUSED or not crashes.count:
+                # Excused too often, or cleared in the meantime.
                 continue
-            just = crashes.longest_ms <= suspects_module.JUST_MS
-            likely = counted.last or crashes.total > 1
-            withdrawn = crashes._replace(
+            recent = crashes.longest_ms <= suspects_module.RECENT_START_MS
+            likely = counted.began_last or crashes.total > 1
+            rolled_back = crashes._replace(
                 count=crashes.count - 1,
-                proofs=crashes.proofs - counted.proved,
+                proofs=crashes.proofs - counted.is_proof,
                 excused=crashes.excused + 1,
-                beside=not (just and likely),
+                beside=not (recent and likely),
             )
-            self._board.note_crashes(task, withdrawn)
+            self._board.note_crashes(task, rolled_back)
             task.not_before = min(task.not_before, now)
-        moment.counted.clear()
+        group.counted_crashes.clear()
 
-    def _find_silent(self, moment: _Moment, now: float) -> set[str]:
-        """Return what may have crashed then and isn't back yet."""
+    def _find_unreachable(self, group: _CrashGroup, now: float) -> set[str]:
+        """Return the instances that may have crashed then and are not back."""
         return {
             instance.address
             for instance in self._list_fleet()
-            if now - instance.answered_at > _SILENT_SECONDS
-            and moment.includes(instance.address, instance.answered_at)
+            if now - instance.answered_at > _MAX_SILENCE_SECONDS
+            and group.includes(instance.address, instance.answered_at)
         }
 
-    def _is_at_once(self, addresses: t.Collection[str]) -> bool:
-        """Tell whether so many crashed that no task can have done it."""
+    def _is_simultaneous(self, addresses: t.Collection[str]) -> bool:
+        """Return whether a common cause outside the tasks is likely.
+
+        That is the case if at least half of the fleet crashed, or a whole
+        rack.
+        """
         fleet = [one for one in self._list_fleet() if one.attached]
         crashed = [one for one in fleet if one.address in addresses]
         if len(crashed) < 2:
             return False
-        least = min(_LEAST_AT_ONCE, len(fleet))
-        if len(crashed) >= max(least, len(fleet) / 2):
+        min_instances = min(_MIN_SIMULTANEOUS, len(fleet))
+        if len(crashed) >= max(min_instances, len(fleet) / 2):
             return True
         racks = {one.rack for one in crashed if one.rack}
-        return any(_is_whole(rack, fleet, addresses) for rack in racks)
+        return any(_is_rack_down(rack, fleet, addresses) for rack in racks)
 
 
 def _log(
@@ -317,55 +342,66 @@
         apart=crashes.apart,
         proofs=crashes.proofs,
         runs=len(crash.runs),
-        others=' '.join(others[:_NAMED]),
+        others=' '.join(others[:_MAX_LOGGED_RUNS]),
     )
 
 
-def _find_tried(
+def _find_isolated(
     suspects: t.Sequence[_Suspect], crash: fleet_pb2.Crash
 ) -> job_module.Task | None:
-    """Return the suspect that was apart, if it was alone there indeed."""
+    """Return the suspect that ran in isolation, if it was really alone."""
     for task, run in suspects:
-        # What the record says of being apart is of the last run.
+        # The record's ``apart`` refers to the latest run only.
         apart = task.state.crashes.apart and run.run == task.state.run
         if apart and _is_alone(task, run, crash):
             return task
     return None
 
 
-def _find_told(
+def _find_most_frequent(
     suspects: t.Sequence[_Suspect], crash: fleet_pb2.Crash
 ) -> set[str]:
-    """Return the tasks of the one job that was at more crashes than others.
+    """Return the tasks of the only job present at the most crashes.
 
-    Which of its tasks it was makes no difference to the job.
+    Which of the job's tasks caused them makes no difference to the job.
     """
-    most = max((task.state.crashes.count for task, _ in suspects), default=0)
-    told = [row for row in suspects if row[0].state.crashes.count == most]
-    if most < _LEAST_TOLD or len({task.job.id for task, _ in told}) > 1:
+    max_count = max(
+        (task.state.crashes.count for task, _ in suspects), default=0
+    )
+    most_frequent = [
+        row for row in suspects if row[0].state.crashes.count == max_count
+    ]
+    if (
+        max_count < _MIN_CRASHES_AS_EVIDENCE
+        or len({task.job.id for task, _ in most_frequent}) > 1
+    ):
         return set()
-    return {task.name for task, run in told if _is_last(task, run, crash)}
+    return {
+        task.name
+        for task, run in most_frequent
+        if _began_last(task, run, crash)
+    }
 
 
-def _is_last(
+def _began_last(
     task: job_module.Task, run: fleet_pb2.CrashedRun, crash: fleet_pb2.Crash
 ) -> bool:
-    """Tell whether no other job's run there began after this one."""
-    return not _began_within(task, crash, run.seconds - _TOGETHER_SECONDS)
+    """Return whether no other job's run there began after this one."""
+    return not _has_later_start(task, crash, run.seconds - _SAME_START_SECONDS)
 
 
 def _is_alone(
     task: job_module.Task, run: fleet_pb2.CrashedRun, crash: fleet_pb2.Crash
 ) -> bool:
-    """Tell whether only its own job's runs may have crashed the agent."""
-    just = suspects_module.JUST_SECONDS
-    return not _began_within(task, crash, run.seconds + just)
+    """Return whether only runs of its own job may have crashed the agent."""
+    recent = suspects_module.RECENT_START_SECONDS
+    return not _has_later_start(task, crash, run.seconds + recent)
 
 
-def _began_within(
+def _has_later_start(
     task: job_module.Task, crash: fleet_pb2.Crash, seconds: float
 ) -> bool:
-    """Tell whether a run of another job began so shortly before a crash."""
+    """Return whether another job's run began within this time of a crash."""
     prefix = f'{task.job.id}.'
     return any(
         other.seconds < seconds and not other.task.startswith(prefix)
@@ -374,23 +410,25 @@
 
 
 def _may_excuse(task: job_module.Task) -> bool:
-    """Tell whether one more crash of many at once blames a task for nothing.
+    """Return whether a task may be excused once more.
 
-    Without a bound the same bad tasks, which begin together each time, look
-    like a loss of power for ever.
+    Without a limit, faulty tasks that always begin simultaneously would look
+    like a power failure indefinitely.
     """
-    return task.state.crashes.total < _MOST_EXCUSED
+    return task.state.crashes.total < _MAX_EXCUSED
 
 
-def _is_just(run: fleet_pb2.CrashedRun) -> bool:
-    """Tell whether a run began just before the crash."""
-    return run.seconds <= suspects_module.JUST_SECONDS
+def _is_recent(run: fleet_pb2.CrashedRun) -> bool:
+    """Return whether a run began just before the crash."""
+    return run.seconds <= suspects_module.RECENT_START_SECONDS
 
 
-def _is_whole(
+def _is_rack_down(
     rack: str,
     fleet: t.Iterable[instances.Instance],
     addresses: t.Collection[str],
 ) -> bool:
-    there = [one.address for one in fleet if one.rack == rack]
-    return len(there) > 1 and all(one in addresses for one in there)
+    addresses_of_rack = [one.address for one in fleet if one.rack == rack]
+    return len(addresses_of_rack) > 1 and all(
+        one in addresses for one in addresses_of_rack
+    )
--- a/src/persimmonsail/jobs/suspects.py
+++ b/src/persimmonsail/jobs/suspects.py
@@ -1,12 +1,12 @@
-"""How a task goes on that worker's agents have crashed under.
-
-Such a task is a suspect. It is started again apart from other suspects, and
-one whose crash came at once where least is lost and with nothing else
-beginning beside it: if the agent crashes again, that tells who it was.
-Three crashes that came at once, two of them telling, end a task's job;
-crashes that are slower to come tell less, since an agent may well crash by
-itself in the same time, and more of them are needed. A run that outlives
-the time in which its crashes came clears its task.
+"""Handling of tasks under which worker agents have crashed.
+
+Such a task is a suspect. It is started again isolated from other suspects. A
+suspect whose crash followed its start immediately is started where the least
+work would be lost, with no other start beside it, so that another crash is
+evidence against it. Three immediate crashes, two of them such evidence, fail
+the task's job. Slower crashes are weaker evidence, since an agent may crash by
+itself in the same time, so more of them are required. A run that outlives the
+time in which its crashes occurred clears its task.
 """
 
 from persimmonsail.jobs import board as board_module
@@ -16,80 +16,89 @@
 from persimmonsail import logs
 
 _MILLISECONDS = 1000
-# A run that began so shortly before a crash, by the agent's last answer,
-# began just before it.
-JUST_SECONDS = 0.5
-JUST_MS = round(JUST_SECONDS * _MILLISECONDS)
-# A run that lasts for so long at least clears its task.
-_LEAST_WATCH_SECONDS = 2.0
-# After so many crashes a task's job is given up, by the longest time in
-# seconds from a start to the crash: the longer it is, the more likely an
-# agent crashed by itself. So many of them have to tell of the task alone.
-_MOST_CRASHES = ((JUST_SECONDS, 3), (2.0, 4))
-_MOST = 5
-_PROOFS = 2
-# After that many one is enough.
-_PROOFS_AT_MOST = 1
-# A task whose crashes tell nothing waits longer from one to the next.
-_LONGEST_WAIT_SECONDS = 30.0
-# The share of a service's instances that suspects may have for themselves.
-_APART_SHARE = 0.25
-# A task that waits for one for so long is started without, by how many
-# crashes it was there at. At three or more it is hardly an innocent, and a
-# start beside others would tell nothing.
-_PATIENCE_SECONDS = {1: 3.0, 2: 10.0}
-_LONGEST_PATIENCE_SECONDS = 30.0
-# Nothing else has begun for so long where a suspect is tried: what began
-# just before it might as well be what crashes the agent.
-_QUIET_SECONDS = 1.0
-# An instance that finds no quiet for so long gets other work again.
-_LONGEST_CLEARED_SECONDS = 2.0
-# For how long nothing is started beside a run that is apart: until a crash
-# is noticed at least.
-_LEAST_APART_SECONDS = 1.0
-_LONGEST_APART_SECONDS = 4.0
-# Crashes of one moment are heard of within this time.
-_SETTLE_SECONDS = 1.2
-# A task that had just begun waits for so long for what else crashed then.
-_HOLD_SECONDS = 0.3
-
-
-def is_spent(task: job_module.Task) -> bool:
-    """Tell whether a task has crashed its agents too often to be tried."""
+# A run that began at most this long before the agent's last answer counts as
+# having begun just before the crash.
+RECENT_START_SECONDS = 0.5
+RECENT_START_MS = round(RECENT_START_SECONDS * _MILLISECONDS)
+# Minimum duration of a run that clears its task.
+_MIN_CLEAR_SECONDS = 2.0
+# Number of crashes after which a task's job fails, by the longest time in
+# seconds from a start to the crash: the longer it is, the more likely an agent
+# crashed by itself. At least _MIN_PROOFS of them have to be evidence against
+# this task alone.
+_MAX_CRASHES_BY_SECONDS = ((RECENT_START_SECONDS, 3), (2.0, 4))
+_MAX_CRASHES = 5
+_MIN_PROOFS = 2
+# From _MAX_CRASHES on, this much evidence is enough.
+_MIN_PROOFS_AT_LIMIT = 1
+# Limit of the backoff between the crashes of a task without sufficient
+# evidence against it.
+_MAX_BACKOFF_SECONDS = 30.0
+# Maximum share of a service's instances that is reserved for suspects.
+_MAX_RESERVED_SHARE = 0.25
+# How long a task waits for an instance of its own before it is started without
+# one, by the number of its crashes. At three or more it is probably the cause,
+# and a start beside others would give no evidence.
+_ISOLATION_TIMEOUT_SECONDS = {1: 3.0, 2: 10.0}
+_MAX_ISOLATION_TIMEOUT_SECONDS = 30.0
+# An instance qualifies for the trial of a suspect if no other run began there
+# for this long: a run that began just before might equally be the cause of a
+# crash.
+_MIN_QUIET_SECONDS = 1.0
+# A reserved instance that has not become quiet after this time accepts other
+# work again.
+_MAX_RESERVATION_SECONDS = 2.0
+# How long no other run is started beside an isolated one: at least until a
+# crash would be noticed.
+_MIN_ISOLATION_SECONDS = 1.0
+_MAX_ISOLATION_SECONDS = 4.0
+# Simultaneous crashes are all reported within this time.
+_REPORT_WINDOW_SECONDS = 1.2
+# How long a task that had just begun waits for reports of other crashes at the
+# same time.
+_START_DELAY_SECONDS = 0.3
+
+
+def is_exhausted(task: job_module.Task) -> bool:
+    """Return whether a task has crashed too many agents to be retried."""
     crashes = task.state.crashes
-    if crashes.total >= _MOST and crashes.proofs >= _PROOFS_AT_MOST:
+    if (
+        crashes.total >= _MAX_CRASHES
+        and crashes.proofs >= _MIN_PROOFS_AT_LIMIT
+    ):
         return True
-    if crashes.proofs < _PROOFS:
+    if crashes.proofs < _MIN_PROOFS:
         return False
-    most = next(
+    max_crashes = next(
         (
-            most
-            for seconds, most in _MOST_CRASHES
+            max_crashes
+            for seconds, max_crashes in _MAX_CRASHES_BY_SECONDS
             if crashes.longest_ms <= seconds * _MILLISECONDS
         ),
-        _MOST,
+        _MAX_CRASHES,
     )
-    return crashes.total >= most
+    return crashes.total >= max_crashes
 
 
 def choose_wait(task: job_module.Task, seconds: float) -> float:
-    """Return how long a task waits that a crash was just counted for."""
-    if is_spent(task):
-        # Crashes of the same moment elsewhere may clear it.
-        return _SETTLE_SECONDS
-    more = task.state.crashes.total - _MOST
-    if more >= 0:
-        # Crashes that tell nothing must not follow each other for ever.
-        return min(2.0**more, _LONGEST_WAIT_SECONDS)
-    return _HOLD_SECONDS if seconds <= JUST_SECONDS else 0.0
+    """Return how long a task waits after a crash was counted for it."""
+    if is_exhausted(task):
+        # Reports of simultaneous crashes elsewhere may still excuse it.
+        return _REPORT_WINDOW_SECONDS
+    excess = task.state.crashes.total - _MAX_CRASHES
+    if excess >= 0:
+        # Backs off, since inconclusive crashes would otherwise repeat without
+        # end.
+        return min(2.0**excess, _MAX_BACKOFF_SECONDS)
+    return _START_DELAY_SECONDS if seconds <= RECENT_START_SECONDS else 0.0
 
 
 def give_up_spent(board: board_module.Board, now: float) -> None:
-    """Fail the jobs of tasks that go on crashing what starts them."""
+    """Fail the jobs of tasks that keep crashing the agents they start on."""
     for task in list(board.suspects.values()):
         if task.key not in task.job.waiting or task.not_before > now:
             continue
-        if not is_spent(task):
+        if not is_exhausted(task):
             continue
         crashes = task.state.crashes
         reason = f'{task.name} crashed {crashes.total} agents that started it'
@@ -106,76 +115,80 @@
 
 
 def is_tried_next(task: job_module.Task) -> bool:
-    """Tell whether a task is to be started apart.
+    """Return whether a task is to be started in isolation.
 
-    The members of a gang begin together, so none of them can be tried by
-    itself; their job ends with them in any case.
+    The members of a gang begin simultaneously, so that none of them can be
+    isolated; if one fails, their job fails with it in any case.
     """
-    spared = task.state.crashes.beside or task.step.gang
-    return task.is_suspect and not spared
+    is_exempt = task.state.crashes.beside or task.step.gang
+    return task.is_suspect and not is_exempt
 
 
 def needs_apart(task: job_module.Task, now: float) -> bool:
-    """Tell whether a suspect has to be started apart, or wait for it."""
+    """Return whether a suspect must start in isolation or wait for it."""
     if not is_tried_next(task):
         return False
     task.apart_since = task.apart_since or now
     total = task.state.crashes.total
-    patience = _PATIENCE_SECONDS.get(total, _LONGEST_PATIENCE_SECONDS)
-    return now - task.apart_since <= patience
+    timeout = _ISOLATION_TIMEOUT_SECONDS.get(
+        total, _MAX_ISOLATION_TIMEOUT_SECONDS
+    )
+    return now - task.apart_since <= timeout
 
 
-def _find_watch_seconds(task: job_module.Task) -> float:
-    """Return for how long a suspect has to run to be cleared."""
-    return max(_LEAST_WATCH_SECONDS, _measure_trial(task))
+def _find_clear_seconds(task: job_module.Task) -> float:
+    """Return how long a suspect has to run to be cleared."""
+    return max(_MIN_CLEAR_SECONDS, _estimate_trial_seconds(task))
 
 
-def _find_apart_seconds(task: job_module.Task) -> float:
-    """Return for how long nothing else is started beside a suspect."""
-    longest = max(_LEAST_APART_SECONDS, _measure_trial(task))
-    return min(longest, _LONGEST_APART_SECONDS)
+def _find_isolation_seconds(task: job_module.Task) -> float:
+    """Return how long no other run is started beside a suspect."""
+    longest_seconds = max(
+        _MIN_ISOLATION_SECONDS, _estimate_trial_seconds(task)
+    )
+    return min(longest_seconds, _MAX_ISOLATION_SECONDS)
 
 
-def _measure_trial(task: job_module.Task) -> float:
-    """Return within how many seconds a suspect's next crash would come."""
-    longest = task.state.crashes.longest_ms / _MILLISECONDS
-    return 2 * longest + JUST_SECONDS
+def _estimate_trial_seconds(task: job_module.Task) -> float:
+    """Return the time within which a suspect's next crash is expected."""
+    longest_seconds = task.state.crashes.longest_ms / _MILLISECONDS
+    return 2 * longest_seconds + RECENT_START_SECONDS
 
 
 def may_reserve(usable: int, reserved: int) -> bool:
-    """Tell whether one more instance may be left to a suspect alone.
+    """Return whether one more instance may be reserved for a suspect.
 
     Parameters
     ----------
     usable : int
-        The service's instances that get new work, none of them reserved.
+        Instances of the service that accept new work and are not reserved.
     reserved : int
-        Those that are reserved.
+        Instances that are reserved.
     """
-    most = max(1, int(_APART_SHARE * (usable + reserved)))
-    return reserved < most
+    max_reserved = max(1, int(_MAX_RESERVED_SHARE * (usable + reserved)))
+    return reserved < max_reserved
 
 
 def keep_apart(
     task: job_module.Task, run: instances.Run, instance: instances.Instance
 ) -> None:
-    """Have nothing else start beside a suspect's run for a while."""
-    run.apart_seconds = _find_apart_seconds(task)
+    """Start no other run beside a suspect's run for a while."""
+    run.apart_seconds = _find_isolation_seconds(task)
     instance.apart = run
     instance.cleared_until = 0.0
 
 
 def is_quiet(instance: instances.Instance, now: float) -> bool:
-    """Tell whether what is started there would be alone for a while."""
-    return instance.measure_quiet(now) > _QUIET_SECONDS
+    """Return whether nothing else has begun there recently."""
+    return instance.measure_quiet(now) > _MIN_QUIET_SECONDS
 
 
 def clear_instance(
     task: job_module.Task, instance: instances.Instance, now: float
 ) -> None:
-    """Have nothing else start on an instance until a suspect is tried."""
+    """Start no other run on an instance until a suspect is tried there."""
     instance.cleared_for = task.name
-    instance.cleared_until = now + _LONGEST_CLEARED_SECONDS
+    instance.cleared_until = now + _MAX_RESERVATION_SECONDS
     logs.write_event(
         'instance-cleared',
         instance=instance.address,
@@ -193,14 +206,14 @@
 ) -> None:
     """Clear a task whose run has outlived the time of its crashes.
 
-    A sidecar reports what ran at its last look for as long as its worker's
-    agent doesn't answer; a crashed one would clear the task that it died of.
-    So only the time until that answer counts.
+    While a worker's agent does not answer, its sidecar reports the runs of the
+    last poll. Those reports would clear a task that has just crashed the
+    agent, so only the time until the agent's last answer counts.
     """
     if not task.state.crashes.total:
         return
     seconds = answered_at - run.seen_at
-    if seconds <= _find_watch_seconds(task):
+    if seconds <= _find_clear_seconds(task):
         return
     if task.is_suspect:
         run.suspect = False
