--- a/src/persimmonsail/jobs/advice.py
+++ b/src/persimmonsail/jobs/advice.py
@@ -1,12 +1,12 @@
-"""Which instances may run a step, where only an advisor knows.
-
-Load pattern: each question takes the advisor a while, and longer the more
-instances it names, and it answers one after the other; a fleet has far
-more pairs of steps and instances than can be asked about. So only what
-would be placed now is asked for, the most urgent first, and of the
-instances only those with room, a batch at a time. An answer holds as long
-as the step exists; the ticket that comes with a yes runs out, and is asked
-for again when the step needs it.
+"""Approvals of an external placement advisor.
+
+Load pattern: each question takes the advisor some time, longer the more
+instances it names, and questions are answered one after another. A fleet has
+far more pairs of steps and instances than can be asked about. Only steps that
+would be placed now are asked about, the most urgent first, and only instances
+with free capacity, in batches. An answer is valid as long as the step exists.
+The permit that comes with an approval expires, and is requested again when the
+step needs it.
 """
 
 import dataclasses
@@ -22,43 +22,43 @@
 from persimmonsail.jobs import placement
 from persimmonsail import logs
 
-# Callers' objectives allow for one question about so many instances.
+# Callers' objectives allow for one question about this many instances.
 MOST_ASKED = 30
-# A ticket that runs out sooner is not used: the claim of a run has to be
-# committed and its order has to arrive first, 50 ms in most cases and
-# 0.3 s with the store at its slowest.
-_MARGIN_SECONDS = 0.4
-_RETRY_SECONDS = 0.2
+# A permit that expires sooner is not used: the claim of a run has to be
+# committed and its order has to arrive first, which takes 50 ms in most cases
+# and 0.3 s with a slow store.
+_MIN_VALIDITY_SECONDS = 0.4
+_RETRY_DELAY_SECONDS = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
-class _Ticket:
+class _Permit:
     text: str
-    until: float
+    expires_at: float
 
 
 class Approvals:
-    """The advisor's answers, and what it has to be asked next."""
+    """The advisor's answers and the pending questions."""
 
     def __init__(self) -> None:
-        # By step: the boots that an answer was given for.
+        # Boots with an answer, by step.
         self._answered: dict[str, set[str]] = {}
-        self._tickets: dict[str, dict[str, _Ticket]] = {}
-        # In the order of urgency of the last round.
-        self._wanted: dict[str, advisor_module.Question] = {}
+        self._permits: dict[str, dict[str, _Permit]] = {}
+        # By step, in the order of urgency of the last round.
+        self._questions: dict[str, advisor_module.Question] = {}
         self._changed = anyio.Event()
 
     def begin_round(self) -> None:
-        """Drop what an earlier round wanted to know."""
-        self._wanted.clear()
+        """Drop the questions of an earlier round."""
+        self._questions.clear()
 
     def find_tickets(self, step: str, now: float) -> dict[str, str]:
-        """Return the tickets of a step that can be used now, by boot."""
-        tickets = self._tickets.get(step, {})
+        """Return the usable permits of a step, by boot."""
+        permits = self._permits.get(step, {})
         return {
-            boot: ticket.text
-            for boot, ticket in tickets.items()
-            if ticket.until > now + _MARGIN_SECONDS
+            boot: permit.text
+            for boot, permit in permits.items()
+            if permit.expires_at > now + _MIN_VALIDITY_SECONDS
         }
 
     def want(
@@ -68,29 +68,29 @@
         service: str,
         now: float,
     ) -> None:
-        """Note that a task found no place among the approved instances."""
+        """Queue a question for a task that no approved instance can hold."""
         step = task.step_name
         answered = self._answered.get(step, set())
-        denied = answered - self._tickets.get(step, {}).keys()
+        denied = answered - self._permits.get(step, {}).keys()
         known = denied | self.find_tickets(step, now).keys()
-        useful = [
+        candidates = [
             instance
             for instance in placement.list_fitting(task, fleet, service, now)
             if instance.boot not in known
         ]
-        if not useful:
+        if not candidates:
             return
-        useful.sort(key=lambda i: i.free.millicores, reverse=True)
-        boots = tuple(instance.boot for instance in useful[:MOST_ASKED])
-        self._wanted[step] = advisor_module.Question(step, boots)
+        candidates.sort(key=lambda i: i.free.millicores, reverse=True)
+        boots = tuple(instance.boot for instance in candidates[:MOST_ASKED])
+        self._questions[step] = advisor_module.Question(step, boots)
         self._changed.set()
 
     async def wait_question(self) -> advisor_module.Question:
-        """Return what to ask next, once there is something."""
-        while not self._wanted:
+        """Return the next question, once there is one."""
+        while not self._questions:
             self._changed = anyio.Event()
             await self._changed.wait()
-        return self._wanted.pop(next(iter(self._wanted)))
+        return self._questions.pop(next(iter(self._questions)))
 
     def note(
         self,
@@ -98,24 +98,26 @@
         answer: advisor_module.Answer,
         now: float,
     ) -> None:
-        """Take an answer in."""
+        """Record an answer."""
         answered = self._answered.setdefault(question.step, set())
         answered.update(question.boots)
-        tickets = self._tickets.setdefault(question.step, {})
-        until = now + answer.valid_seconds
+        permits = self._permits.setdefault(question.step, {})
+        expires_at = now + answer.valid_seconds
         for boot, text in answer.tickets.items():
-            tickets[boot] = _Ticket(text, until)
+            permits[boot] = _Permit(text, expires_at)
 
     def drop_ticket(self, step: str, boot: str) -> None:
-        """Use a ticket no more that an instance has refused."""
-        if self._tickets.get(step, {}).pop(boot, None) is not None:
+        """Discard a permit that an instance has refused."""
+        if self._permits.get(step, {}).pop(boot, None) is not None:
             self._answered[step].discard(boot)
 
     def forget(self, job: str) -> None:
-        """Drop all answers about an ended job."""
-        for kept in (self._answered, self._tickets, self._wanted):
-            for step in [s for s in kept if s.partition('.')[0] == job]:
-                del kept[step]
+        """Drop all answers and questions about an ended job."""
+        for rows_by_step in (self._answered, self._permits, self._questions):
+            for step in [
+                s for s in rows_by_step if s.partition('.')[0] == job
+            ]:
+                del rows_by_step[step]
 
 
 async def keep_asking(
@@ -125,17 +127,17 @@
 ) -> None:
     """Ask one question after the other, until cancelled.
 
-    The advisor answers each caller in turn, so a second question at the
-    same time would only wait there, and might no longer be wanted.
+    The advisor answers each caller's questions in sequence: a second
+    concurrent question would only wait there, and might be obsolete by then.
     """
     while True:
         question = await approvals.wait_question()
-        begun = clock.read()
+        asked_at = clock.read()
         try:
             answer = await advisor.ask(question)
         except exceptions.AdvisorUnavailable as error:
             logs.write_event('advice-unheard', step=question.step, error=error)
-            await anyio.sleep(_RETRY_SECONDS)
+            await anyio.sleep(_RETRY_DELAY_SECONDS)
             continue
         now = clock.read()
         approvals.note(question, answer, now)
@@ -145,6 +147,6 @@
             asked=len(question.boots),
             approved=len(answer.tickets),
             valid_seconds=answer.valid_seconds,
-            seconds=now - begun,
+            seconds=now - asked_at,
         )
         on_answer()
--- a/src/persimmonsail/jobs/advisor.py
+++ b/src/persimmonsail/jobs/advisor.py
@@ -1,4 +1,4 @@
-"""What an advisor is asked, and what it answers."""
+"""The interface of an external placement advisor."""
 
 import abc
 import dataclasses
@@ -7,15 +7,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What the advisor says about one step.
+    """The advisor's answer about one step.
 
     Attributes
     ----------
     tickets : mapping of str to str
-        What a start has to carry, by the boot of each instance that may
-        run the step.
+        The permit that a start has to carry, by the boot of each instance that
+        may run the step.
     valid_seconds : float
-        How long these tickets are accepted.
+        How long these permits are accepted.
     """
 
     tickets: t.Mapping[str, str]
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Question:
-    """A step, and the boots of instances that may or may not run it."""
+    """A step, and the boots of the instances asked about."""
 
     step: str
     boots: tuple[str, ...]
 
 
 class Advisor(abc.ABC):
-    """Knows which instances may run a step."""
+    """Decides which instances may run a step."""
 
     @abc.abstractmethod
     async def ask(self, question: Question) -> Answer:
@@ -40,5 +40,5 @@
         Raises
         ------
         persimmonsail.exceptions.AdvisorUnavailable
-            If it gave no answer, or was asked too much.
+            If it did not answer, or rejected the question as overloaded.
         """
--- a/src/persimmonsail/jobs/capacities.py
+++ b/src/persimmonsail/jobs/capacities.py
@@ -1,10 +1,10 @@
-"""How large instances are: a step that fits none of them can't be served.
+"""Capacities of instances: a step that fits none of them is refused.
 
-A step that is larger than any instance would wait for ever, and its
-caller with it. The leader sees all instances and keeps their capacities
-in the store; any entry reads them and refuses such a job at once. A
-capacity that was seen once stays known: an instance that is away for now
-may come back, and a job that can wait for it must not be refused.
+A step larger than every instance would wait indefinitely, and so would its
+caller. The leader sees all instances and saves their capacities in the store;
+every entry reads them and refuses such a job immediately. A capacity remains
+known once observed: an absent instance may come back, and a job that can wait
+for it must not be refused.
 """
 
 import typing as t
@@ -19,12 +19,12 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# A new kind of instance is known to all entries after these two at the
-# most; a job that needs it and comes sooner is refused for now.
-_SAVE_SECONDS = 2.0
-_READ_SECONDS = 10.0
-# A fleet has a few kinds of instances. Should one have more, further
-# ones are left out and no job is refused for its size any more.
+# A new kind of instance is known to all entries after at most the sum of these
+# two periods; until then, jobs that need it are refused.
+_SAVE_PERIOD_SECONDS = 2.0
+_READ_PERIOD_SECONDS = 10.0
+# A fleet has a few kinds of instances. If it has more than this, further kinds
+# are not recorded and jobs are no longer refused for their size.
 MAX_KINDS = 64
 
 Size = specification_module.Size
@@ -32,39 +32,39 @@
 
 
 class Capacities:
-    """The capacities of all instances that were ever seen, by service."""
+    """The capacities of all instances ever observed, by service."""
 
     def __init__(self) -> None:
-        self._known: dict[str, set[Size]] = {}
+        self._capacities: dict[str, set[Size]] = {}
 
     def note(self, service: str, capacity: Size) -> None:
-        """Note what an instance of a service has."""
-        known = self._known.setdefault(service, set())
-        if any(capacity.fits(other) for other in known):
+        """Record the capacity of an instance of a service."""
+        capacities = self._capacities.setdefault(service, set())
+        if any(capacity.fits(other) for other in capacities):
             return
-        # What fits a smaller one fits this one. Each size of a room that
-        # shrinks and grows would be a kind of its own.
-        known -= {other for other in known if other.fits(capacity)}
-        if len(known) < MAX_KINDS:
-            known.add(capacity)
+        # A step that fits a smaller capacity also fits this one. Otherwise
+        # each size of a capacity that varies would become a kind of its own.
+        capacities -= {other for other in capacities if other.fits(capacity)}
+        if len(capacities) < MAX_KINDS:
+            capacities.add(capacity)
 
     def merge(self, text: str) -> None:
-        """Add what ``export`` returned, here or elsewhere.
+        """Add capacities that ``export`` returned, here or elsewhere.
 
         Raises
         ------
         pydantic.ValidationError
-            If it is something else.
+            If the text is invalid.
         """
-        for service, found in _STORED.validate_json(text).items():
-            for capacity in found:
+        for service, capacities in _STORED.validate_json(text).items():
+            for capacity in capacities:
                 self.note(service, capacity)
 
     def export(self) -> str:
-        """Return everything known as text, alike for alike knowledge."""
+        """Return all known capacities as text in a deterministic order."""
         ordered = {
-            service: sorted(known, key=_order)
-            for service, known in sorted(self._known.items())
+            service: sorted(capacities, key=_order)
+            for service, capacities in sorted(self._capacities.items())
         }
         return _STORED.dump_json(ordered).decode()
 
@@ -73,21 +73,23 @@
         service: str,
         specification: specification_module.Specification,
     ) -> None:
-        """Raise an error that names each step that no instance can hold.
+        """Raise an error that names each step that fits no instance.
 
         Raises
         ------
         persimmonsail.exceptions.JobInvalid
             If there is one; never while no instance is known.
         """
-        known = self._known.get(service, set())
-        if not known or len(known) >= MAX_KINDS:
+        capacities = self._capacities.get(service, set())
+        if not capacities or len(capacities) >= MAX_KINDS:
             return
         findings = [
             f'steps[{index}].size: no instance of {service} is so large; '
-            f'{_describe_largest(known)}'
+            f'{_describe_largest(capacities)}'
             for index, step in enumerate(specification.steps)
-            if not any(step.committed.fits(capacity) for capacity in known)
+            if not any(
+                step.committed.fits(capacity) for capacity in capacities
+            )
         ]
         if findings:
             raise exceptions.JobInvalid('; '.join(findings))
@@ -97,8 +99,8 @@
     return size.millicores, size.memory_mib, size.accelerators
 
 
-def _describe_largest(known: t.Iterable[Size]) -> str:
-    largest = max(known, key=_order)
+def _describe_largest(capacities: t.Iterable[Size]) -> str:
+    largest = max(capacities, key=_order)
     return (
         f'the largest has {largest.millicores} millicores, '
         f'{largest.memory_mib} MiB, {largest.accelerators} accelerators'
@@ -108,7 +110,7 @@
 async def load(
     store: store_module.TransactionalStore, capacities: Capacities
 ) -> None:
-    """Add what the store has, if it can be read."""
+    """Add the stored capacities, if they can be read."""
     try:
         item = await store.get(record.CAPACITIES)
     except exceptions.StoreUnavailable as error:
@@ -120,7 +122,7 @@
     try:
         capacities.merge(item.value)
     except pydantic.ValidationError as error:
-        # Of another version; the leader writes it anew.
+        # Written by another version; the leader overwrites it.
         logs.write_warning('capacities-unreadable', error=error)
     after = capacities.export()
     if after != before:
@@ -132,9 +134,9 @@
 async def keep_reading(
     store: store_module.TransactionalStore,
     capacities: Capacities,
-    period_seconds: float = _READ_SECONDS,
+    period_seconds: float = _READ_PERIOD_SECONDS,
 ) -> None:
-    """Read what the leader has saved from time to time."""
+    """Read the stored capacities periodically."""
     while True:
         await load(store, capacities)
         await anyio.sleep(period_seconds)
@@ -143,7 +145,7 @@
 async def keep_saving(
     store: store_module.TransactionalStore,
     fleet: t.Mapping[str, instances.Instance],
-    period_seconds: float = _SAVE_SECONDS,
+    period_seconds: float = _SAVE_PERIOD_SECONDS,
 ) -> None:
     """Save the capacities of a leader's instances whenever one is new."""
     capacities = Capacities()
--- a/src/persimmonsail/jobs/crashes.py
+++ b/src/persimmonsail/jobs/crashes.py
@@ -352,8 +352,8 @@
     """Return the suspect that ran in isolation, if it was really alone."""
     for task, run in suspects:
         # The record's ``apart`` refers to the latest run only.
-        apart = task.state.crashes.apart and run.run == task.state.run
-        if apart and _is_alone(task, run, crash):
+        ran_isolated = task.state.crashes.apart and run.run == task.state.run
+        if ran_isolated and _is_alone(task, run, crash):
             return task
     return None
 
--- a/src/persimmonsail/jobs/gauges.py
+++ b/src/persimmonsail/jobs/gauges.py
@@ -1,7 +1,7 @@
-"""What gauges tell: how full serving tasks are, and what presses on them.
+"""Fullness of serving tasks and best-effort usage, as read from gauges.
 
-A gauge is a tail latency over half a second. It scatters, follows what
-causes it with a delay, and tells nothing beyond a certain height.
+A gauge is a tail latency over half a second. It is noisy, follows its causes
+with a delay, and carries no information beyond a certain value.
 """
 
 import collections
@@ -12,117 +12,120 @@
 
 from persimmonsail.jobs import instances
 
-# Fullness is 1 where a gauge is infinite and 0 where it is this part of
-# the target. It is a unit only: with another one, loads, limits and
-# coefficients grow alike. With a quarter, coefficients are about as large
-# as in units of what a task bears by itself.
-UNIT_PART = 0.25
-# A tail latency follows what causes it with about this delay, since the
-# requests that wait already are served first (emulator, 28 drawn
-# deployments with 0.15 to 0.9 s: worth 0.015 less with 0.35).
+# Fullness is 1 where a gauge is infinite and 0 where it is this share of the
+# target. It is only a unit: with another one, loads, limits and coefficients
+# scale alike. With a quarter, coefficients are about as large as in units of
+# the load that a task tolerates without interference.
+ZERO_FULLNESS_RATIO = 0.25
+# Delay with which a tail latency follows its causes, since requests that
+# already wait are served first (emulator, 28 drawn deployments with 0.15 to
+# 0.9 s: worth 0.015 less with 0.35).
 _LAG_SECONDS = 0.6
-# A part of an instance that is smaller than this is as good as none.
-_LEAST_PART = 0.002
-# Fuller than this a gauge says nothing more than "too full".
-FULL = 0.93
-# Gauges scatter by this part of their value.
+# Smaller shares of an instance are negligible.
+_MIN_SHARE = 0.002
+# Above this fullness a gauge is saturated.
+MAX_FULLNESS = 0.93
+# Relative standard deviation of a gauge.
 _GAUGE_NOISE = 0.15
-# What presses on a task changes by so much for each part of an instance
-# that best-effort work took or left a moment ago.
+# Uncertainty of the interference, for each share of an instance that
+# best-effort work occupied or released recently.
 _CHANGE_DOUBT = 1.0
-# Neighbouring gauges scatter alike, so each tells less than it seems to.
-_LEAST_VARIANCE = 0.05**2
+# Errors of successive gauges are correlated, so each carries less information
+# than its variance alone suggests.
+_MIN_VARIANCE = 0.05**2
 
-Parts = t.Mapping[str, float]
+Shares = t.Mapping[str, float]
 
 
 @dataclasses.dataclass
 class Sample:
     """One step's gauges on one instance.
 
-    ``pressure`` is what the parts press by the coefficients of
-    ``generation``; it is summed up again when these have changed.
+    ``interference`` is the sum over all shares by the coefficients of
+    ``generation``; it is computed again when these have changed.
     """
 
     read_at: float
     fullness: float
-    parts: Parts
-    changed: float
-    pressure: float = 0.0
+    shares: Shares
+    recent_change: float
+    interference: float = 0.0
     generation: int = -1
 
 
 @dataclasses.dataclass(frozen=True)
-class Pressed:
-    """What presses on an instance, followed with the gauges' delay."""
+class FilteredUsage:
+    """Best-effort usage of an instance, filtered with the gauges' delay."""
 
     read_at: float
-    parts: Parts
-    changed: float
+    shares: Shares
+    recent_change: float
 
 
-class Pressing:
-    """Follows what presses on each instance with the gauges' delay."""
+class UsageFilter:
+    """Tracks each instance's best-effort usage with the gauges' delay."""
 
     def __init__(self) -> None:
-        self._last: dict[str, Pressed] = {}
-
-    def follow(self, instance: instances.Instance, now: float) -> Pressed:
-        """Return what presses on an instance, as late as gauges tell it."""
-        parts = measure_parts(instance)
-        current = parts
-        before = self._last.get(instance.address)
-        if before is not None and now > before.read_at:
-            passed = now - before.read_at
-            kept = math.exp(-passed / _LAG_SECONDS)
-            parts = {
-                name: kept * before.parts.get(name, 0.0)
-                + (1 - kept) * parts.get(name, 0.0)
-                for name in parts.keys() | before.parts.keys()
+        self._last: dict[str, FilteredUsage] = {}
+
+    def update(
+        self, instance: instances.Instance, now: float
+    ) -> FilteredUsage:
+        """Return an instance's usage as delayed as its gauges show it."""
+        shares = measure_shares(instance)
+        current = shares
+        previous = self._last.get(instance.address)
+        if previous is not None and now > previous.read_at:
+            elapsed = now - previous.read_at
+            decay = math.exp(-elapsed / _LAG_SECONDS)
+            shares = {
+                name: decay * previous.shares.get(name, 0.0)
+                + (1 - decay) * shares.get(name, 0.0)
+                for name in shares.keys() | previous.shares.keys()
             }
-            parts = {n: p for n, p in parts.items() if p > _LEAST_PART}
-        changed = sum(
-            abs(current.get(name, 0.0) - parts.get(name, 0.0))
-            for name in current.keys() | parts.keys()
+            shares = {n: s for n, s in shares.items() if s > _MIN_SHARE}
+        recent_change = sum(
+            abs(current.get(name, 0.0) - shares.get(name, 0.0))
+            for name in current.keys() | shares.keys()
         )
-        pressing = Pressed(now, parts, changed)
-        self._last[instance.address] = pressing
-        return pressing
+        usage = FilteredUsage(now, shares, recent_change)
+        self._last[instance.address] = usage
+        return usage
 
 
 def read(instance: instances.Instance) -> dict[tuple[str, str], float]:
-    """Return how full each image is in each step."""
-    found = collections.defaultdict(list)
+    """Return the fullness of each image in each step."""
+    ratios = collections.defaultdict(list)
     for run in instance.serving:
         if run.phase is instances.RunPhase.RUNNING and run.gauge > 0:
-            part = run.gauge / run.step.latency_target_ms
-            found[run.step.image, run.step_name].append(part)
-    # Single gauges are off by half at times.
+            ratio = run.gauge / run.step.latency_target_ms
+            ratios[run.step.image, run.step_name].append(ratio)
+    # Single gauges are sometimes off by half.
     return {
-        key: 1 - UNIT_PART / statistics.median_low(parts)
-        for key, parts in found.items()
+        key: 1 - ZERO_FULLNESS_RATIO / statistics.median_low(values)
+        for key, values in ratios.items()
     }
 
 
 def measure_variance(first: Sample, second: Sample) -> float:
-    """Return how far the difference of two gauges may be off.
+    """Return the variance of the difference of two gauges.
 
-    Gauges scatter by a part of their value, so that fullness scatters the
-    more the less full a task is; and what changed a moment ago may show or
-    not.
+    The noise of a gauge is relative to its value, so fullness varies more the
+    less full a task is. Recent changes of best-effort usage may or may not
+    show yet.
     """
     variance = 0.0
     for sample in (first, second):
         variance += (_GAUGE_NOISE * (1 - sample.fullness)) ** 2
-        variance += (_CHANGE_DOUBT * sample.changed) ** 2
-    return variance + _LEAST_VARIANCE
+        variance += (_CHANGE_DOUBT * sample.recent_change) ** 2
+    return variance + _MIN_VARIANCE
 
 
-def measure_parts(instance: instances.Instance) -> dict[str, float]:
-    """Return the parts of an instance that best-effort images use."""
-    parts: dict[str, float] = collections.defaultdict(float)
+def measure_shares(instance: instances.Instance) -> dict[str, float]:
+    """Return the shares of an instance that best-effort images use."""
+    shares: dict[str, float] = collections.defaultdict(float)
     capacity = max(instance.capacity.millicores, 1)
     for run in instance.fillers:
         if run.phase is instances.RunPhase.RUNNING and run.gauge > 0:
-            parts[run.step.image] += run.gauge / capacity
-    return dict(parts)
+            shares[run.step.image] += run.gauge / capacity
+    return dict(shares)
--- a/src/persimmonsail/jobs/interference.py
+++ b/src/persimmonsail/jobs/interference.py
@@ -1,19 +1,19 @@
-"""How much best-effort tasks slow the tasks that serve beside them.
-
-The tail latency of a serving task behaves as in a queue: a latency of
-its own, divided by what its load and the pressure beside it leave free.
-So a gauge, against the target, tells how full a task is: by its load, and
-for each image that runs beside it by a coefficient times the part of the
-instance's processors that it uses. The load swings within seconds, but
-alike for all tasks of one step; what differs between two instances at
-the same time is the pressure, and from such differences coefficients are
-learnt.
-
-Load pattern: deployments differ in how many pairs of images press and how
-much, in how loads swing, and in how close targets are to a task's own
-latency. So none of that is a constant here: coefficients begin with a wide
-guess that follows what was seen of other pairs, and what is kept free
-below a target is by how much predictions were off lately.
+"""Interference of best-effort tasks with colocated serving tasks.
+
+The tail latency of a serving task behaves as in a queue: a base latency,
+divided by the capacity that its own load and the interference of colocated
+tasks leave free. A gauge relative to the target therefore gives a task's
+fullness: its load plus, for each colocated best-effort image, a coefficient
+times the share of the instance's processors that the image uses. Load varies
+within seconds, but alike for all tasks of one step. What differs between two
+instances at the same time is the interference, and coefficients are learnt
+from these differences.
+
+Load pattern: deployments differ in how many pairs of images interfere and how
+strongly, in load variation, and in how close targets are to a task's base
+latency. None of that is a constant here: coefficients start from a wide prior
+that adapts to the pairs observed so far, and the headroom below a target
+follows the recent prediction errors.
 """
 
 import collections
@@ -27,138 +27,142 @@
 from persimmonsail.jobs import loads
 from persimmonsail.jobs import regression
 
-# What is thought of a pair before any was seen: most hardly press, and
-# the others by any amount.
+# Prior for a pair that was not observed yet: most interfere hardly, the others
+# by any amount.
 _PRIOR_KINDS = (
     regression.Kind(share=0.6, mean=0.15, deviation=0.2),
     regression.Kind(share=0.4, mean=1.6, deviation=1.0),
 )
-# The guess weighs as much as so many pairs.
+# The prior weighs as much as this number of observed pairs.
 _PRIOR_PAIRS = 4.0
-# A kind whose mean is lower presses on nothing; 0 has no factor to others.
-_LEAST_MEAN = 0.002
-# Kinds follow the pairs that were seen so often: a pair is told from others
-# within seconds.
+# Lower bound of a kind's mean, since a ratio to 0 is undefined. Interference
+# below it is negligible.
+_MIN_MEAN = 0.002
+# Interval at which kinds are adapted to the observed pairs: a pair can be
+# assigned to a kind within seconds.
 _ADAPT_SECONDS = 0.6
-# Two gauges of one step differ by so much without any cause, where they
-# are just at the target's unit of fullness.
+# Standard deviation of the difference between two gauges of one step without
+# any cause, at fullness 0.
 _NOISE = 0.15
-# Two gauges of one step are compared when they are no further apart: the
-# load changes little meanwhile.
-_TOGETHER_SECONDS = 0.45
-# A gauge is compared with no more than so many others, the latest: each
-# difference after the first few tells little that these don't.
-_MOST_COMPARED = 4
-# Comparisons of one image in a second. An image that serves on 4 instances
-# has about as many, so that what is remembered spans 15 s on a fleet of
-# any size: without a bound 160 instances forgot all of it in 0.2 s, and
-# learning took 0.35 of a processor.
-_COMPARED_A_SECOND = 64.0
-_MOST_SAVED_UP = 32.0
-# Half of how a load moved between two gauges may be wrong.
-_SLOPE_DOUBT = 0.5
-# A difference that is further off than so many deviations counts less.
+# Maximum time between two gauges of one step that are compared: the load
+# changes little in that time.
+_MAX_GAP_SECONDS = 0.45
+# A gauge is compared with at most this many others, the latest ones. Further
+# differences add little information.
+_MAX_COMPARED = 4
+# Rate limit of comparisons of one image. An image that serves on 4 instances
+# has about as many, so that the observations remembered span 15 s on a fleet
+# of any size: without a limit, 160 instances displaced all of them in 0.2 s,
+# and learning took 0.35 of a processor.
+_COMPARISONS_PER_SECOND = 64.0
+_MAX_TOKENS = 32.0
+# Relative error assumed for the load's change between two gauges.
+_SLOPE_ERROR = 0.5
+# A difference that deviates by more than this many standard deviations is
+# given less weight.
 _WIDEST = 2.0
-# Fullness is weighed by the inverse of this and the pressure in it.
-_PRESSURE_DOUBT = 0.05
-# By how many deviations the highest of one, two, three, four or more
-# loads that swing alone exceeds their mean (order statistics of a normal
+# Fullness is weighted by the inverse of this plus the interference in it.
+_INTERFERENCE_OFFSET = 0.05
+# By how many standard deviations the highest of one, two, three, four or more
+# independently varying loads exceeds their mean (order statistics of a normal
 # distribution).
 HIGHEST = (0.0, 0.56, 0.85, 1.03)
-# A serving task is thought to use this part of the processors that it
-# declares. To learn it from instances that are full was worth nothing
-# (emulator, 12 days of known shapes and 16 drawn: +0.004 +-0.006 and +0.001
-# +-0.001 without it).
-_USED_PART = 0.5
-# What is kept free is so many deviations of what predictions missed by:
-# one in twelve was further off (emulator, 28 drawn deployments: worth
-# 0.852 with 1.0, 0.864 with 1.6, 0.840 with 2.4; on known shapes 1.0 and
-# 1.4 are alike).
-_SURE = 1.4
-_LEAST_DOUBT = 0.03
+# Assumed share of its declared processors that a serving task uses. Learning
+# it from instances that are full had no benefit (emulator, 12 days of known
+# shapes and 16 drawn: +0.004 +-0.006 and +0.001 +-0.001 without it).
+_SERVING_USE = 0.5
+# Headroom in standard deviations of the prediction errors: one error in twelve
+# was larger (emulator, 28 drawn deployments: worth 0.852 with 1.0, 0.864 with
+# 1.6, 0.840 with 2.4; on known shapes 1.0 and 1.4 are alike).
+_UNCERTAINTY_DEVIATIONS = 1.4
+_MIN_UNCERTAINTY = 0.03
 
 
 @dataclasses.dataclass(frozen=True)
-class Knowledge:
-    """What is known of one image that serves.
+class LearnedState:
+    """What was learnt about one serving image.
 
     Attributes
     ----------
     evidence : persimmonsail.jobs.regression.Evidence
-        How other images press on it.
+        How other images interfere with it.
     """
 
     evidence: regression.Evidence
 
 
-class _Allowance:
-    """How many more comparisons of one image may be made now."""
+class _TokenBucket:
+    """Limits the rate of comparisons of one image."""
 
     def __init__(self) -> None:
-        self._left = _MOST_SAVED_UP
+        self._tokens = _MAX_TOKENS
         self._read_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Use one, if there is one."""
-        passed = max(now - self._read_at, 0.0)
-        self._left += passed * _COMPARED_A_SECOND
-        self._left = min(self._left, _MOST_SAVED_UP)
+        """Consume one token and return whether there was one."""
+        elapsed = max(now - self._read_at, 0.0)
+        self._tokens += elapsed * _COMPARISONS_PER_SECOND
+        self._tokens = min(self._tokens, _MAX_TOKENS)
         self._read_at = max(now, self._read_at)
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class Model:
-    """What is learnt of images; one for the leader."""
+    """Learns interference and loads; there is one for each leader."""
 
     def __init__(self) -> None:
         self._kinds = list(_PRIOR_KINDS)
         self._fits: dict[str, regression.Regression] = {}
-        self._unknown = self._make_fit()
-        # By step and instance; the latest are last.
+        self._unknown_fit = self._make_fit()
+        # By step and instance, the latest last.
         self._samples: dict[str, dict[str, gauges.Sample]] = {}
-        self._allowances: dict[str, _Allowance] = collections.defaultdict(
-            _Allowance
+        self._token_buckets: dict[str, _TokenBucket] = collections.defaultdict(
+            _TokenBucket
         )
-        self._usual = loads.Summary()
+        self._typical_load = loads.Summary()
         self._loads: dict[str, loads.Load] = {}
-        self._surprise = loads.Surprise()
-        self._pressing = gauges.Pressing()
+        self._prediction_errors = loads.PredictionErrors()
+        self._usage_filter = gauges.UsageFilter()
         self._adapted_at = 0.0
 
     def _make_fit(self) -> regression.Regression:
         return regression.Regression(self._kinds, _NOISE)
 
-    def get_coefficient(self, serving: str, filling: str) -> float:
-        """Return how much one image presses on another."""
-        return self._fits.get(serving, self._unknown).get(filling)
+    def get_coefficient(self, serving: str, best_effort: str) -> float:
+        """Return how strongly one image interferes with another."""
+        return self._fits.get(serving, self._unknown_fit).get(best_effort)
 
-    def get_bound(self, serving: str, filling: str) -> float:
-        """Return how much one image may press on another at the most."""
-        return self._fits.get(serving, self._unknown).get_bound(filling)
+    def get_bound(self, serving: str, best_effort: str) -> float:
+        """Return the probable upper bound of a coefficient."""
+        return self._fits.get(serving, self._unknown_fit).get_bound(
+            best_effort
+        )
 
-    def get_least(self, serving: str, filling: str) -> float:
-        """Return how much one image presses on another at the least."""
-        return self._fits.get(serving, self._unknown).get_least(filling)
+    def get_least(self, serving: str, best_effort: str) -> float:
+        """Return the probable lower bound of a coefficient."""
+        return self._fits.get(serving, self._unknown_fit).get_least(
+            best_effort
+        )
 
     def get_threshold(self) -> float:
-        """Return from which coefficient on a pair presses.
+        """Return the coefficient from which a pair counts as interfering.
 
-        That is half way between both kinds, by factors.
+        That is the geometric mean of both kinds' means.
         """
-        faint, strong = self._kinds
-        return math.sqrt(max(faint.mean, _LEAST_MEAN) * strong.mean)
+        weak, strong = self._kinds
+        return math.sqrt(max(weak.mean, _MIN_MEAN) * strong.mean)
 
     def estimate_load(
         self, run: instances.Run, address: str, now: float
     ) -> float:
-        """Return what a serving run's load will be in a moment.
+        """Return the predicted load of a serving run.
 
-        Read from its own instance's last gauges: what a coefficient is
-        wrong by is then made good by the next look, as it would not be
-        with the load that other instances show.
+        It is read from the latest gauges of the run's own instance: an error
+        in a coefficient is then corrected by the next poll, which would not
+        happen with the load measured on other instances.
 
         Parameters
         ----------
@@ -179,91 +183,95 @@
         return value + load.predict_rise()
 
     def estimate_doubt(self) -> float:
-        """Return by how much a load may exceed what was estimated."""
-        expected = self._surprise.mean + _SURE * self._surprise.deviation
-        return max(expected, _LEAST_DOUBT)
+        """Return by how much a load may exceed its estimate."""
+        expected = (
+            self._prediction_errors.mean
+            + _UNCERTAINTY_DEVIATIONS * self._prediction_errors.deviation
+        )
+        return max(expected, _MIN_UNCERTAINTY)
 
-    def expect_load(self, step_name: str, beside: int) -> float:
-        """Return what a step's load will be while a run lasts.
+    def expect_load(self, step_name: str, step_count: int) -> float:
+        """Return a step's expected load over the duration of a run.
 
         Parameters
         ----------
         step_name : str
             The step.
-        beside : int
-            How many steps there are on the instance, this one included:
-            the more there are, the likelier one is at its highest.
+        step_count : int
+            Number of steps on the instance, this one included: the more
+            there are, the more likely one of them is at its peak.
         """
         summary = self._summarize(step_name)
-        factor = HIGHEST[min(max(beside, 1), len(HIGHEST)) - 1]
+        factor = HIGHEST[min(max(step_count, 1), len(HIGHEST)) - 1]
         return summary.mean + factor * summary.deviation
 
     def estimate_limit(self) -> float:
         """Return the fullness at which a run just meets its target."""
-        return 1 - gauges.UNIT_PART
+        return 1 - gauges.ZERO_FULLNESS_RATIO
 
     def estimate_use(self) -> float:
-        """Return which part of their processors serving tasks use."""
-        return _USED_PART
+        """Return which share of their processors serving tasks use."""
+        return _SERVING_USE
 
     def learn(self, instance: instances.Instance, now: float) -> None:
-        """Take an instance's latest gauges in."""
-        pressing = self._pressing.follow(instance, now)
+        """Update the model with an instance's latest gauges."""
+        usage = self._usage_filter.update(instance, now)
         for (image, step_name), fullness in gauges.read(instance).items():
             sample = gauges.Sample(
-                now, fullness, pressing.parts, pressing.changed
+                now, fullness, usage.shares, usage.recent_change
             )
-            known = self._samples.setdefault(step_name, {})
-            known.pop(instance.address, None)
+            samples = self._samples.setdefault(step_name, {})
+            samples.pop(instance.address, None)
             self._compare(image, step_name, sample)
-            known[instance.address] = sample
+            samples[instance.address] = sample
             self._note_load(image, step_name, instance.address, now)
         if now - self._adapted_at >= _ADAPT_SECONDS:
             self._adapted_at = now
             self._adapt_kinds()
 
     def _adapt_kinds(self) -> None:
-        beliefs = [
-            belief
+        posteriors = [
+            posterior
             for fit in self._fits.values()
-            for belief in fit.list_beliefs()
+            for posterior in fit.list_posteriors()
         ]
         self._kinds[:] = regression.adapt_kinds(
-            _PRIOR_KINDS, beliefs, _PRIOR_PAIRS
+            _PRIOR_KINDS, posteriors, _PRIOR_PAIRS
         )
 
-    def export(self) -> dict[str, Knowledge]:
-        """Return what is known of each image, for a later leader."""
+    def export(self) -> dict[str, LearnedState]:
+        """Return what was learnt about each image, for a later leader."""
         return {
-            image: Knowledge(fit.export()) for image, fit in self._fits.items()
+            image: LearnedState(fit.export())
+            for image, fit in self._fits.items()
         }
 
-    def restore(self, known: t.Mapping[str, Knowledge]) -> None:
-        """Begin with what an earlier leader has learnt.
+    def restore(self, learned: t.Mapping[str, LearnedState]) -> None:
+        """Start from what an earlier leader has learnt.
 
         Raises
         ------
         ValueError
-            If it makes no sense.
+            If it is inconsistent.
         """
-        for image, knowledge in known.items():
+        for image, state in learned.items():
             fit = self._make_fit()
-            fit.restore(knowledge.evidence)
+            fit.restore(state.evidence)
             self._fits[image] = fit
         self._adapt_kinds()
 
     def forget(self, step_name: str) -> None:
-        """Drop the gauges of a step that has ended."""
+        """Drop the samples of a step that has ended."""
         self._samples.pop(step_name, None)
         self._loads.pop(step_name, None)
-        self._surprise.forget(step_name)
+        self._prediction_errors.forget(step_name)
 
     def _summarize(self, step_name: str) -> loads.Summary:
         load = self._loads.get(step_name)
-        return load.summary if load else self._usual
+        return load.summary if load else self._typical_load
 
     def _read_load(self, image: str, sample: gauges.Sample) -> float:
-        return sample.fullness - self._press(image, sample)
+        return sample.fullness - self._estimate_interference(image, sample)
 
     def _compare(
         self, image: str, step_name: str, sample: gauges.Sample
@@ -275,14 +283,14 @@
         load = self._loads.get(step_name)
         slope = load.slope if load else 0.0
         others = reversed(self._samples[step_name].values())
-        for other in itertools.islice(others, _MOST_COMPARED):
-            apart = sample.read_at - other.read_at
-            if apart > _TOGETHER_SECONDS:
+        for other in itertools.islice(others, _MAX_COMPARED):
+            gap_seconds = sample.read_at - other.read_at
+            if gap_seconds > _MAX_GAP_SECONDS:
                 return
-            if not self._allowances[image].take(sample.read_at):
+            if not self._token_buckets[image].take(sample.read_at):
                 return
-            doubt = (_SLOPE_DOUBT * slope * apart) ** 2
-            self._learn_difference(fit, sample, other, slope, doubt)
+            load_variance = (_SLOPE_ERROR * slope * gap_seconds) ** 2
+            self._learn_difference(fit, sample, other, slope, load_variance)
 
     def _learn_difference(
         self,
@@ -290,76 +298,79 @@
         sample: gauges.Sample,
         other: gauges.Sample,
         slope: float,
-        doubt: float,
+        load_variance: float,
     ) -> None:
         """Learn from two gauges of one step.
 
         Parameters
         ----------
         fit : persimmonsail.jobs.regression.Regression
-            Of the step's image.
+            The regression of the step's image.
         sample, other : persimmonsail.jobs.gauges.Sample
-            The later one and the one before it.
+            The later and the earlier sample.
         slope : float
-            How the step's load changes in a second.
-        doubt : float
-            By how much the load may have changed otherwise, squared.
+            Change of the step's load per second.
+        load_variance : float
+            Variance of the load's change beyond the slope.
         """
-        if min(sample.fullness, other.fullness) > gauges.FULL:
+        if min(sample.fullness, other.fullness) > gauges.MAX_FULLNESS:
             return
         differences = {
-            name: sample.parts.get(name, 0.0) - other.parts.get(name, 0.0)
-            for name in sample.parts.keys() | other.parts.keys()
+            name: sample.shares.get(name, 0.0) - other.shares.get(name, 0.0)
+            for name in sample.shares.keys() | other.shares.keys()
         }
         expected = sum(
-            fit.get(name) * part for name, part in differences.items()
+            fit.get(name) * share for name, share in differences.items()
         )
-        apart = sample.read_at - other.read_at
-        seen = sample.fullness - other.fullness - slope * apart
-        # A gauge that is full shows the least that presses there.
-        if sample.fullness > gauges.FULL:
-            seen = max(seen, expected)
-        elif other.fullness > gauges.FULL:
-            seen = min(seen, expected)
-        variance = gauges.measure_variance(sample, other) + doubt
-        surprise = abs(seen - expected) / math.sqrt(variance)
-        trust = min(_WIDEST / surprise, 1.0) if surprise else 1.0
-        fit.add(differences, seen, trust * _NOISE * _NOISE / variance)
+        gap_seconds = sample.read_at - other.read_at
+        observed = sample.fullness - other.fullness - slope * gap_seconds
+        # A saturated gauge gives only a lower bound of the interference there.
+        if sample.fullness > gauges.MAX_FULLNESS:
+            observed = max(observed, expected)
+        elif other.fullness > gauges.MAX_FULLNESS:
+            observed = min(observed, expected)
+        variance = gauges.measure_variance(sample, other) + load_variance
+        deviations = abs(observed - expected) / math.sqrt(variance)
+        confidence = min(_WIDEST / deviations, 1.0) if deviations else 1.0
+        fit.add(differences, observed, confidence * _NOISE * _NOISE / variance)
 
     def _note_load(
         self, image: str, step_name: str, address: str, now: float
     ) -> None:
-        known = self._samples[step_name]
+        samples = self._samples[step_name]
         total = 0.0
         weights = 0.0
-        for sample in reversed(known.values()):
-            if now - sample.read_at > _TOGETHER_SECONDS:
+        for sample in reversed(samples.values()):
+            if now - sample.read_at > _MAX_GAP_SECONDS:
                 break
-            pressure = self._press(image, sample)
-            weight = 1 / (_PRESSURE_DOUBT + pressure)
-            total += weight * (sample.fullness - pressure)
+            interference = self._estimate_interference(image, sample)
+            weight = 1 / (_INTERFERENCE_OFFSET + interference)
+            total += weight * (sample.fullness - interference)
             weights += weight
         load = self._loads.get(step_name)
         if load is None:
-            load = self._loads[step_name] = loads.Load(self._usual)
+            load = self._loads[step_name] = loads.Load(self._typical_load)
         seconds = load.note(total / weights, now)
-        self._usual.add(load.value, seconds)
+        self._typical_load.add(load.value, seconds)
         key = (step_name, address)
-        own = self._read_load(image, known[address])
-        fullness = known[address].fullness
-        if fullness <= gauges.FULL:
-            # What counts is the doubt near the target; the emptier a task,
-            # the more its fullness scatters with the same gauges.
-            weight = min(gauges.UNIT_PART / (1 - fullness), 1.0) ** 2
-            self._surprise.settle(key, own, weight, now)
-        self._surprise.predict(key, own + load.predict_rise(), now)
-
-    def _press(self, image: str, sample: gauges.Sample) -> float:
+        own = self._read_load(image, samples[address])
+        fullness = samples[address].fullness
+        if fullness <= gauges.MAX_FULLNESS:
+            # Only the uncertainty near the target matters. The less full a
+            # task is, the more its fullness varies with the same noise of the
+            # gauges.
+            weight = min(gauges.ZERO_FULLNESS_RATIO / (1 - fullness), 1.0) ** 2
+            self._prediction_errors.resolve(key, own, weight, now)
+        self._prediction_errors.predict(key, own + load.predict_rise(), now)
+
+    def _estimate_interference(
+        self, image: str, sample: gauges.Sample
+    ) -> float:
         generation = self._fits[image].generation
         if sample.generation != generation:
             sample.generation = generation
-            sample.pressure = sum(
-                self.get_coefficient(image, filling) * part
-                for filling, part in sample.parts.items()
+            sample.interference = sum(
+                self.get_coefficient(image, best_effort) * share
+                for best_effort, share in sample.shares.items()
             )
-        return sample.pressure
+        return sample.interference
--- a/src/persimmonsail/jobs/loads.py
+++ b/src/persimmonsail/jobs/loads.py
@@ -1,10 +1,10 @@
-"""How full the tasks of one step are, how that swings, and what comes.
+"""Load of each step's tasks: its level, variation and prediction.
 
-Load pattern: the load of what serves swings within seconds, in one
-deployment by a tenth and in another by most of it, in waves or in steps.
-Nothing of that is known beforehand, so mean, spread and slope of each
-step's load are followed, and how far the predictions of the last seconds
-were off: that is what has to be kept free against the next surprise.
+Load pattern: the load of serving tasks varies within seconds, in one
+deployment by a tenth and in another by most of it, in waves or in steps. None
+of that is known beforehand, so the mean, variance and slope of each step's
+load are tracked, as well as the errors of the predictions of the last seconds,
+which determine the headroom.
 """
 
 import collections
@@ -12,39 +12,39 @@
 import math
 import typing as t
 
-# A load is predicted from gauges no older than this.
+# Maximum age of gauges that a load is predicted from.
 FRESH_SECONDS = 1.2
-# How far ahead: a gauge is as old as this when a pace takes effect.
+# How far ahead loads are predicted: the age of a gauge when a new speed limit
+# takes effect.
 _AHEAD_SECONDS = 0.8
 _SLOPE_SMOOTHING = 0.4
-# Two looks at a step are about this far apart.
-_USUAL_GAP_SECONDS = 0.45
-_LEAST_GAP_SECONDS = 0.05
-# Mean and spread count the last seconds: some swings of most loads.
-_MEMORY_SECONDS = 20.0
-# What is thought of a step before its first seconds are seen weighs as
-# much as so many seconds of it.
+# Typical time between two polls of a step.
+_TYPICAL_GAP_SECONDS = 0.45
+_MIN_GAP_SECONDS = 0.05
+# Mean and variance cover this time, several periods of most loads.
+_WINDOW_SECONDS = 20.0
+# The prior for a new step weighs as much as this time of observation.
 _PRIOR_SECONDS = 2.0
-# Before anything was read: a task that serves is about half as full as
-# its target bears, and its load may double.
+# Prior without any observation: a serving task is about half as full as its
+# target allows, and its load may double.
 _PRIOR_MEAN = 0.4
 _PRIOR_DEVIATION = 0.15
-# Errors of predictions count by the last 25 or so, and by a guess before:
-# a tenth of what a target leaves to a task that is half full.
+# Prediction errors are averaged over the last 25 or so. The initial value is a
+# tenth of the headroom that a target leaves to a task that is half full.
 _ERROR_SMOOTHING = 0.04
 _PRIOR_ERROR = 0.06
-# No more predictions of one load wait for their moment. There are three
-# looks until then, forty where runs end all the time, and none is compared
-# while a gauge is full.
-_MOST_PENDING = 64
-# A single gauge that is off by half is no surprise of the load's: an error
-# counts as no more than so many deviations.
-_WIDEST_ERRORS = 2.0
+# Maximum number of predictions of one load that are not due yet. There are
+# three polls until then, forty where runs end continually, and none is
+# resolved while a gauge is saturated.
+_MAX_PENDING = 64
+# Limit of a single error in standard deviations: one gauge that is off by half
+# is an outlier, not a change of the load.
+_MAX_ERROR_DEVIATIONS = 2.0
 
 
 @dataclasses.dataclass
 class Summary:
-    """A load's mean and spread, by how many seconds were seen of it."""
+    """A load's mean and variance, and the seconds it was observed for."""
 
     mean: float = _PRIOR_MEAN
     variance: float = _PRIOR_DEVIATION**2
@@ -52,18 +52,20 @@
 
     @property
     def deviation(self) -> float:
-        """Its standard deviation."""
+        """The standard deviation."""
         return math.sqrt(self.variance)
 
     def add(self, value: float, seconds: float) -> None:
-        """Count a value that held for so long."""
+        """Add a value that lasted for this time."""
         if seconds <= 0:
             return
-        self.seconds = min(self.seconds + seconds, _MEMORY_SECONDS)
-        part = min(seconds / (self.seconds + _PRIOR_SECONDS), 1.0)
-        apart = value - self.mean
-        self.mean += part * apart
-        self.variance += part * (apart * (value - self.mean) - self.variance)
+        self.seconds = min(self.seconds + seconds, _WINDOW_SECONDS)
+        factor = min(seconds / (self.seconds + _PRIOR_SECONDS), 1.0)
+        difference = value - self.mean
+        self.mean += factor * difference
+        self.variance += factor * (
+            difference * (value - self.mean) - self.variance
+        )
 
 
 class _Prediction(t.NamedTuple):
@@ -76,48 +78,47 @@
 
     Parameters
     ----------
-    usual : Summary
-        What is known of other steps' loads; begins as if it were like
-        them.
+    typical : Summary
+        Summary of other steps' loads, used as the prior.
     """
 
-    def __init__(self, usual: Summary) -> None:
-        self.summary = Summary(usual.mean, usual.variance)
-        self.value = usual.mean
+    def __init__(self, typical: Summary) -> None:
+        self.summary = Summary(typical.mean, typical.variance)
+        self.value = typical.mean
         self.slope = 0.0
         self.read_at = -math.inf
 
     def note(self, value: float, now: float) -> float:
-        """Take a look in; return for how many seconds it counts."""
-        passed = now - self.read_at
-        if passed >= FRESH_SECONDS:
+        """Add a reading and return the seconds that it covers."""
+        elapsed = now - self.read_at
+        if elapsed >= FRESH_SECONDS:
             self.slope = 0.0
-            passed = _USUAL_GAP_SECONDS
+            elapsed = _TYPICAL_GAP_SECONDS
         else:
-            gap = max(passed, _LEAST_GAP_SECONDS)
-            part = _SLOPE_SMOOTHING * min(gap / _USUAL_GAP_SECONDS, 1.0)
-            seen = (value - self.value) / gap
-            self.slope += part * (seen - self.slope)
+            gap = max(elapsed, _MIN_GAP_SECONDS)
+            factor = _SLOPE_SMOOTHING * min(gap / _TYPICAL_GAP_SECONDS, 1.0)
+            observed_slope = (value - self.value) / gap
+            self.slope += factor * (observed_slope - self.slope)
         self.value = value
         self.read_at = now
-        self.summary.add(value, passed)
-        return passed
+        self.summary.add(value, elapsed)
+        return elapsed
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether it was looked at just now."""
+        """Return whether the last reading is recent enough for predictions."""
         return now - self.read_at <= FRESH_SECONDS
 
     def predict_rise(self) -> float:
-        """Return by how much it will have risen when a pace takes effect."""
+        """Return the predicted rise until a new speed limit takes effect."""
         return max(self.slope, 0.0) * _AHEAD_SECONDS
 
 
 def _make_pending() -> collections.deque[_Prediction]:
-    return collections.deque(maxlen=_MOST_PENDING)
+    return collections.deque(maxlen=_MAX_PENDING)
 
 
-class Surprise:
-    """By how much loads exceed what was predicted of them."""
+class PredictionErrors:
+    """Statistics of how far loads exceed their predictions."""
 
     def __init__(self) -> None:
         self.mean = 0.0
@@ -127,23 +128,23 @@
         ] = collections.defaultdict(_make_pending)
 
     def predict(self, key: tuple[str, str], value: float, now: float) -> None:
-        """Note what a load is predicted to be in a moment."""
+        """Record the prediction of a load."""
         due_at = now + _AHEAD_SECONDS
         self._predictions[key].append(_Prediction(due_at, value))
 
-    def settle(
+    def resolve(
         self, key: tuple[str, str], value: float, weight: float, now: float
     ) -> None:
-        """Compare a load with what was predicted of it.
+        """Compare a load with its prediction, if one is due.
 
         Parameters
         ----------
         key : tuple of str
             The step and the instance.
         value : float
-            The load that was read.
+            The measured load.
         weight : float
-            How much it counts, from 0 to 1.
+            The weight of the error, from 0 to 1.
         now : float
             Seconds of the leader's clock.
         """
@@ -154,11 +155,13 @@
         if due is None or now - due.due_at > FRESH_SECONDS:
             return
         error = value - due.value
-        part = weight * _ERROR_SMOOTHING
-        widest = _WIDEST_ERRORS * self.deviation
-        apart = min(max(error - self.mean, -widest), widest)
-        self.mean += part * apart
-        self.variance += part * (apart * apart - self.variance)
+        factor = weight * _ERROR_SMOOTHING
+        max_difference = _MAX_ERROR_DEVIATIONS * self.deviation
+        difference = min(
+            max(error - self.mean, -max_difference), max_difference
+        )
+        self.mean += factor * difference
+        self.variance += factor * (difference * difference - self.variance)
 
     def forget(self, step_name: str) -> None:
         """Drop the predictions of a step that has ended."""
@@ -167,5 +170,5 @@
 
     @property
     def deviation(self) -> float:
-        """The standard deviation of predictions' errors."""
+        """The standard deviation of the prediction errors."""
         return math.sqrt(self.variance)
--- a/src/persimmonsail/jobs/memory.py
+++ b/src/persimmonsail/jobs/memory.py
@@ -1,9 +1,9 @@
-"""What a leader has learnt, kept for the one after it.
+"""Persists what a leader has learnt for its successor.
 
-Without it a new leader tries again which images disturb each other: what
-serves is over its target meanwhile, and heavy jobs wait. It is no part of
-any promise, so it is written past the ledger, and a version that can't be
-read is only logged.
+Without it a new leader learns again which images interfere: meanwhile serving
+tasks miss their targets and heavy jobs wait. No guarantee depends on this
+state, so it is written without the ledger, and an unreadable version is only
+logged.
 """
 
 import anyio
@@ -15,22 +15,22 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# What a leader learns in this time is lost with it. Some kilobytes are
-# written each time, of 4 KB/s that a process may send.
-_SAVE_SECONDS = 4.0
-# A put takes 4 ms, and 0.3 s where the store is at its slowest; without
-# a leader nothing starts.
-_LAST_SAVE_SECONDS = 0.1
-# Larger than this it is not kept: the store takes a megabyte a value.
-_MOST_BYTES = 200_000
+# What a leader learns within one period is lost with it. Each save writes some
+# kilobytes, out of the 4 KB/s that a process may send.
+_SAVE_PERIOD_SECONDS = 4.0
+# A put takes 4 ms, and up to 0.3 s with a slow store; without a leader no task
+# starts.
+_LAST_SAVE_TIMEOUT_SECONDS = 0.1
+# Larger states are not saved: the store's limit is one megabyte per value.
+_MAX_BYTES = 200_000
 
-_KNOWN = pydantic.TypeAdapter(dict[str, interference.Knowledge])
+_LEARNED = pydantic.TypeAdapter(dict[str, interference.LearnedState])
 
 
 async def load(
     store: store_module.TransactionalStore, model: interference.Model
 ) -> None:
-    """Begin with what an earlier leader has learnt, if it can be read."""
+    """Restore what an earlier leader has learnt, if it can be read."""
     try:
         item = await store.get(record.KNOWLEDGE)
     except exceptions.StoreUnavailable as error:
@@ -39,9 +39,9 @@
     if item is None:
         return
     try:
-        model.restore(_KNOWN.validate_json(item.value))
+        model.restore(_LEARNED.validate_json(item.value))
     except ValueError as error:
-        # Of another version; it is learnt anew.
+        # Written by another version; the model learns again.
         logs.write_warning('knowledge-unreadable', error=error)
         return
     logs.write_event(
@@ -52,9 +52,9 @@
 async def keep_saving(
     store: store_module.TransactionalStore,
     model: interference.Model,
-    period_seconds: float = _SAVE_SECONDS,
+    period_seconds: float = _SAVE_PERIOD_SECONDS,
 ) -> None:
-    """Save what was learnt from time to time, until cancelled."""
+    """Save what was learnt periodically, until cancelled."""
     saved = ''
     while True:
         await anyio.sleep(period_seconds)
@@ -64,13 +64,12 @@
 async def save_last(
     store: store_module.TransactionalStore, model: interference.Model
 ) -> None:
-    """Save what was learnt since the last time, if that is quick.
+    """Save what was learnt since the last save, if the store is quick.
 
-    A leader that is stopped within the period of its saves would hand on
-    nothing; one that waits for a slow store would keep its successor from
-    leading.
+    Without it a leader that is stopped within its first save period would hand
+    over nothing. Waiting for a slow store would delay the next leader.
     """
-    with anyio.move_on_after(_LAST_SAVE_SECONDS) as scope:
+    with anyio.move_on_after(_LAST_SAVE_TIMEOUT_SECONDS) as scope:
         await _save(store, model, '')
     if scope.cancelled_caught:
         logs.write_event('knowledge-unsaved', error='no answer in time')
@@ -81,11 +80,11 @@
     model: interference.Model,
     saved: str,
 ) -> str:
-    """Write what was learnt if it is new; return what is written."""
-    text = _KNOWN.dump_json(model.export()).decode()
+    """Write what was learnt if it has changed; return the state written."""
+    text = _LEARNED.dump_json(model.export()).decode()
     if text == saved:
         return saved
-    if len(text) > _MOST_BYTES:
+    if len(text) > _MAX_BYTES:
         logs.write_event('knowledge-unsaved', error='too large')
         return text
     try:
--- a/src/persimmonsail/jobs/observations.py
+++ b/src/persimmonsail/jobs/observations.py
@@ -1,4 +1,4 @@
-"""What a report says of an instance and of the runs that are there."""
+"""What a report says about an instance and its runs."""
 
 from persimmonsail.jobs import fleet_pb2
 from persimmonsail.jobs import instances
@@ -6,19 +6,20 @@
 from persimmonsail.jobs import specification
 from persimmonsail import logs
 
-# Below this part of its target, or so many looks in a row below it, a
-# serving run counts as within its target again.
-_WELL_UNDER = 0.8
-_UNDER_LOOKS = 2
+# A serving run counts as within its target again below this share of the
+# target, or after this many consecutive polls below the target itself.
+_CLEARLY_UNDER_RATIO = 0.8
+_MIN_POLLS_UNDER = 2
 
-# A run whose percent has not moved for so long stands still: looks are
+# A run whose percentage has not changed for this long is stalled: polls are
 # half a second apart, and a run that resumes needs 0.6 s first.
 _STILL_SECONDS = 1.3
-# Only runs that should move by 3 percent in that time tell anything.
-_LONGEST_ESTIMATE_MS = 30_000
-# One run may wait for something of its own; several don't.
-_STILL_RUNS = 2
-_FULL_PACE = 100
+# Only runs that should advance by at least 3 percent in that time are checked.
+_MAX_ESTIMATE_MS = 30_000
+# A single run may be waiting for a cause of its own; several at once are
+# unlikely to.
+_MIN_STALLED_RUNS = 2
+_FULL_SPEED_PERCENT = 100
 
 _UNKNOWN_STEP = specification.Step(count=1)
 
@@ -29,7 +30,7 @@
     task: job_module.Task | None,
     now: float,
 ) -> instances.Run:
-    """Count a run that is there although no claim named it here."""
+    """Account for a reported run that no claim placed here."""
     run = instances.Run(
         task=row.task,
         number=row.run,
@@ -37,7 +38,7 @@
         step=task.step if task else _UNKNOWN_STEP,
         queue=task.job.queue if task else '',
         ordered_at=now,
-        # Unknown; the first order says what it is to be.
+        # Unknown until the first order sets it.
         pace=0,
     )
     instance.add_run(run)
@@ -47,7 +48,7 @@
 def note_progress(
     run: instances.Run, row: fleet_pb2.Running, now: float
 ) -> None:
-    """Note how far a run is, and its gauge."""
+    """Record a run's progress and gauge."""
     if run.phase is instances.RunPhase.ORDERED:
         run.phase = instances.RunPhase.RUNNING
     if not run.seen_at:
@@ -61,27 +62,27 @@
 
 
 def _note_target(run: instances.Run, now: float) -> None:
-    """Note since when a serving run has been over its target.
+    """Record since when a serving run has exceeded its target.
 
-    A single gauge is off by half at times, so one that is just below
-    the target ends nothing: the time over it would begin anew.
+    A single gauge is sometimes off by half, so one that is just below the
+    target does not reset the time; it would start again from zero.
     """
     if not run.serves:
         return
-    part = run.gauge / run.step.latency_target_ms
-    if part > 1:
+    ratio = run.gauge / run.step.latency_target_ms
+    if ratio > 1:
         run.over_since = run.over_since or now
         run.under_looks = 0
     elif run.over_since:
         run.under_looks += 1
-        if part < _WELL_UNDER or run.under_looks >= _UNDER_LOOKS:
+        if ratio < _CLEARLY_UNDER_RATIO or run.under_looks >= _MIN_POLLS_UNDER:
             run.over_since = 0.0
 
 
 def note_description(
     instance: instances.Instance, report: fleet_pb2.Report, now: float
 ) -> bool:
-    """Note what an instance is and has; tell whether room changed."""
+    """Record an instance's properties; return whether its capacity changed."""
     capacity = specification.Size(
         report.capacity.millicores,
         report.capacity.memory_mib,
@@ -94,8 +95,8 @@
             instance=instance.address,
             remaining=report.remaining_seconds,
         )
-    leaves = report.leaving != instance.leaving
-    changed = leaves or capacity != instance.capacity
+    leaving_changed = report.leaving != instance.leaving
+    changed = leaving_changed or capacity != instance.capacity
     instance.service = report.service
     instance.rack = report.rack
     instance.labels = tuple(report.labels)
@@ -105,15 +106,19 @@
 
 
 def stands_still(instance: instances.Instance, now: float) -> bool:
-    """Tell whether nothing moves on an instance that should.
+    """Return whether an instance's runs make no progress although they should.
 
-    Load pattern: the agent of one worker answers and reports as always,
-    and its tasks stand still for seconds; it looks idle, since nothing
-    ends there, and gets one new task after the other.
+    Load pattern: a worker's agent responds and reports as usual while its
+    tasks are stalled for seconds. The instance looks idle, since no run ends
+    there, and keeps receiving new tasks.
     """
-    telling = [run for run in instance.runs.values() if _should_move(run)]
-    still = [run for run in telling if now - run.moved_at > _STILL_SECONDS]
-    return len(still) >= _STILL_RUNS and 2 * len(still) > len(telling)
+    checked_runs = [run for run in instance.runs.values() if _should_move(run)]
+    stalled_runs = [
+        run for run in checked_runs if now - run.moved_at > _STILL_SECONDS
+    ]
+    return len(stalled_runs) >= _MIN_STALLED_RUNS and 2 * len(
+        stalled_runs
+    ) > len(checked_runs)
 
 
 def _should_move(run: instances.Run) -> bool:
@@ -121,8 +126,8 @@
         run.phase is instances.RunPhase.RUNNING
         and not run.step.long_running
         and not run.step.gang
-        and run.pace == _FULL_PACE
-        and 0 < run.step.estimate_ms <= _LONGEST_ESTIMATE_MS
+        and run.pace == _FULL_SPEED_PERCENT
+        and 0 < run.step.estimate_ms <= _MAX_ESTIMATE_MS
     )
 
 
@@ -131,10 +136,10 @@
     report: fleet_pb2.Report,
     pending: set[instances.RunId],
 ) -> bool:
-    """Tell whether the sidecar works on a run's stop, or will.
+    """Return whether the sidecar is stopping a run, or is about to.
 
-    A sidecar that was just restarted drops a stop that comes before it
-    knows its worker's agent; the run would go on for ever.
+    A restarted sidecar drops a stop that arrives before it knows its worker's
+    agent; without this check the run would never be stopped.
     """
     if run.phase is not instances.RunPhase.STOPPING:
         return False
@@ -146,7 +151,7 @@
     run: instances.Run,
     instance: instances.Instance,
 ) -> bool:
-    """Tell whether a run is the one that its task is placed with."""
+    """Return whether a run is the one its task is placed as."""
     return (
         task is not None
         and not task.job.phase.is_final
--- a/src/persimmonsail/jobs/regression.py
+++ b/src/persimmonsail/jobs/regression.py
@@ -1,50 +1,51 @@
 """A linear regression over coefficients that are either small or large.
 
-Few pairs of images disturb each other much; all others hardly do. A
-plain regression takes some ten seconds to tell the two from each other,
-and what it says of a pair that was not seen lately drifts to the middle.
-So each coefficient is estimated as one of two kinds, each with a prior of
-its own, weighed by how well either explains what was observed.
+Few pairs of images interfere much; all others hardly do. A plain regression
+takes some ten seconds to separate the two, and its estimate for a pair that
+was not observed lately drifts to the middle. Each coefficient is therefore
+estimated as a mixture of two kinds, each with its own prior, weighted by how
+well it explains the observations.
 """
 
 import dataclasses
 import math
 import typing as t
 
-# Each observation weighs this much less than the one after it. Images
-# behave alike all day, so little is forgotten.
-_KEPT = 0.999
-_HIGHEST = 20.0
-# Coefficients are solved for again after so many observations, or after
-# this part of all that are remembered: the more is known, the less a few
-# more change, and a solution of 30 coefficients takes 1.4 ms.
-_SOLVE_EVERY = 6
-_SOLVE_PART = 0.05
-# So many observations are remembered: the sum of their weights.
-_REMEMBERED = 1 / (1 - _KEPT)
-# Sums grow by the weight of the newest observation instead of shrinking
-# by what is forgotten, so that one observation touches only the names that
-# it has; beyond this they are shrunk all at once.
-_LARGEST_SCALE = 1e6
-_SWEEPS = 5
-# Sweeps end when no coefficient moves by more than this: gauges scatter by
-# far more.
-_SETTLED = 0.01
-# A coefficient is thought to be no higher than its mean and so many
-# deviations: with more, heavy tasks wait beside free room, with less, what
-# serves is disturbed (emulator, 12 days of known shapes: worth 0.858 with
-# 0.1, 0.880 with this, 0.852 with 0.7).
+# Weight of an observation relative to the next one. Images behave alike all
+# day, so little is forgotten.
+_DECAY = 0.999
+_MAX_COEFFICIENT = 20.0
+# Coefficients are solved for again after this many observations, or after this
+# share of the effective number of observations: the more there are, the less a
+# few more change, and a solution of 30 coefficients takes 1.4 ms.
+_MIN_PENDING = 6
+_MIN_PENDING_SHARE = 0.05
+# Limit of the effective number of observations, the sum of their weights.
+_MAX_EFFECTIVE_COUNT = 1 / (1 - _DECAY)
+# Sums grow by the weight of the newest observation instead of decaying, so
+# that an observation updates only the names that it has. Beyond this scale all
+# sums are rescaled.
+_MAX_SCALE = 1e6
+_MAX_SWEEPS = 5
+# Sweeps end when no coefficient changes by more than this; the noise of the
+# gauges is far larger.
+_CONVERGED_CHANGE = 0.01
+# Standard deviations from a coefficient's mean to its upper bound: with more,
+# heavy tasks wait beside free capacity; with less, serving tasks suffer
+# interference (emulator, 12 days of known shapes: worth 0.858 with 0.1, 0.880
+# with this, 0.852 with 0.7).
 _BOUND_DEVIATIONS = 0.3
-# And no lower than this many below it.
+# Standard deviations from a coefficient's mean to its lower bound.
 _LEAST_DEVIATIONS = 0.7
-# A kind never gets narrower than this part of what it began with.
-_LEAST_DEVIATION_PART = 0.5
-# Beyond this nothing works beside the other; how far does not matter.
-_MOST_TELLING = 4.0
-# A coefficient counts by half for its kind when what was observed is so
-# much more precise than the kind itself.
-_KNOWN_WEIGHT = 4.0
-# Sums are kept to so many digits; they are worth nothing below 0.001.
+# Minimum deviation of a kind, as a share of its initial one.
+_MIN_DEVIATION_SHARE = 0.5
+# From this coefficient on, nothing can be colocated with the other image;
+# larger values carry no further information.
+_MAX_INFORMATIVE = 4.0
+# A coefficient counts by half for its kind when its observations are this many
+# times as precise as the kind itself.
+_HALF_CERTAINTY_RATIO = 4.0
+# Decimal places of exported sums; differences below 0.001 are irrelevant.
 _DIGITS = 4
 
 
@@ -55,9 +56,9 @@
     Attributes
     ----------
     share : float
-        The part of all coefficients that are of this kind.
+        The share of all coefficients that are of this kind.
     mean, deviation : float
-        Where its coefficients lie.
+        The distribution of its coefficients.
     """
 
     share: float
@@ -67,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Evidence:
-    """What a regression has observed, as sums.
+    """The observations of a regression, as sums.
 
     Attributes
     ----------
@@ -81,22 +82,22 @@
     targets: dict[str, float]
 
 
-class Belief(t.NamedTuple):
-    """What is believed of one coefficient.
+class Posterior(t.NamedTuple):
+    """The posterior distribution of one coefficient.
 
     Attributes
     ----------
-    parts : tuple of float
-        How likely it is of each kind.
+    probabilities : tuple of float
+        The probability of each kind.
     means : tuple of float
-        Its mean if it is of that kind.
+        Its mean under each kind.
     weight : float
-        How precisely it was observed: one over the variance.
+        Precision of the observations: the inverse of their variance.
     mean, deviation : float
         Over all kinds.
     """
 
-    parts: tuple[float, ...]
+    probabilities: tuple[float, ...]
     means: tuple[float, ...]
     weight: float
     mean: float = 0.0
@@ -109,9 +110,9 @@
     Parameters
     ----------
     kinds : sequence of Kind
-        What coefficients may be.
+        The kinds of coefficients.
     noise : float
-        The standard deviation of what is observed.
+        The standard deviation of an observation.
     """
 
     def __init__(self, kinds: t.Sequence[Kind], noise: float) -> None:
@@ -120,41 +121,41 @@
         self._products: dict[str, dict[str, float]] = {}
         self._targets: dict[str, float] = {}
         self._values: dict[str, float] = {}
-        self._bounds: dict[str, float] = {}
-        self._least: dict[str, float] = {}
-        self._beliefs: dict[str, Belief] = {}
+        self._upper_bounds: dict[str, float] = {}
+        self._lower_bounds: dict[str, float] = {}
+        self._posteriors: dict[str, Posterior] = {}
         self._pending = 0
-        self._seen = 0
-        # What the newest observation weighs in the sums.
+        self._count = 0
+        # Weight of the newest observation in the sums.
         self._scale = 1.0
-        # Rises whenever coefficients change.
+        # Incremented whenever coefficients change.
         self.generation = 0
 
     def get(self, name: str) -> float:
-        """Return a coefficient."""
+        """Return a coefficient's mean."""
         value = self._values.get(name)
         if value is None:
             return sum(kind.share * kind.mean for kind in self._kinds)
         return value
 
     def get_bound(self, name: str) -> float:
-        """Return what a coefficient may be at the most, in all likelihood.
+        """Return the probable upper bound of a coefficient.
 
-        That is its mean and some of its spread over all kinds.
+        That is its mean plus part of its standard deviation over all kinds.
         """
-        bound = self._bounds.get(name)
-        if bound is None:
-            return self._guess(_BOUND_DEVIATIONS)
-        return bound
+        upper_bound = self._upper_bounds.get(name)
+        if upper_bound is None:
+            return self._estimate_prior(_BOUND_DEVIATIONS)
+        return upper_bound
 
     def get_least(self, name: str) -> float:
-        """Return what a coefficient is at the least, in all likelihood."""
-        least = self._least.get(name)
-        if least is None:
-            return max(self._guess(-_LEAST_DEVIATIONS), 0.0)
-        return least
+        """Return the probable lower bound of a coefficient."""
+        lower_bound = self._lower_bounds.get(name)
+        if lower_bound is None:
+            return max(self._estimate_prior(-_LEAST_DEVIATIONS), 0.0)
+        return lower_bound
 
-    def _guess(self, deviations: float) -> float:
+    def _estimate_prior(self, deviations: float) -> float:
         mean = sum(kind.share * kind.mean for kind in self._kinds)
         square = sum(
             kind.share * (kind.mean**2 + kind.deviation**2)
@@ -162,42 +163,44 @@
         )
         return mean + deviations * math.sqrt(square - mean * mean)
 
-    def list_beliefs(self) -> list[Belief]:
-        """Return what is believed of each coefficient that was seen."""
-        return list(self._beliefs.values())
+    def list_posteriors(self) -> list[Posterior]:
+        """Return the posterior of each coefficient that was observed."""
+        return list(self._posteriors.values())
 
     def add(
         self, xs: t.Mapping[str, float], y: float, weight: float = 1.0
     ) -> None:
-        """Take one observation in.
+        """Add one observation.
 
         Parameters
         ----------
         xs : mapping of str to float
-            How much there was of each name.
+            The amount of each name.
         y : float
-            What was observed.
+            The observed value.
         weight : float
-            How much more it tells than one with the usual noise.
+            Its precision relative to an observation with the usual noise.
         """
-        self._scale /= _KEPT
-        if self._scale > _LARGEST_SCALE:
-            self._shrink()
+        self._scale /= _DECAY
+        if self._scale > _MAX_SCALE:
+            self._rescale()
         weight *= self._scale
         for name, x in xs.items():
             row = self._products.setdefault(name, {})
             for other, z in xs.items():
                 row[other] = row.get(other, 0.0) + weight * x * z
-            before = self._targets.get(name, 0.0)
-            self._targets[name] = before + weight * x * y
+            previous = self._targets.get(name, 0.0)
+            self._targets[name] = previous + weight * x * y
         self._pending += 1
-        self._seen += 1
-        remembered = min(self._seen, _REMEMBERED)
-        if self._pending >= max(_SOLVE_EVERY, _SOLVE_PART * remembered):
+        self._count += 1
+        effective_count = min(self._count, _MAX_EFFECTIVE_COUNT)
+        if self._pending >= max(
+            _MIN_PENDING, _MIN_PENDING_SHARE * effective_count
+        ):
             self._solve()
 
-    def _shrink(self) -> None:
-        """Bring the sums back to where the newest weighs 1."""
+    def _rescale(self) -> None:
+        """Rescale the sums so that the newest observation weighs 1."""
         for row in self._products.values():
             for other in row:
                 row[other] /= self._scale
@@ -206,8 +209,8 @@
         self._scale = 1.0
 
     def export(self) -> Evidence:
-        """Return what was observed."""
-        self._shrink()
+        """Return the observations as sums."""
+        self._rescale()
         return Evidence(
             {
                 name: {other: round(x, _DIGITS) for other, x in row.items()}
@@ -217,15 +220,15 @@
         )
 
     def restore(self, evidence: Evidence) -> None:
-        """Begin with what another regression has observed.
+        """Start from the observations of another regression.
 
         Raises
         ------
         ValueError
-            If the sums do not belong together.
+            If the sums are inconsistent.
         """
         if evidence.products.keys() != evidence.targets.keys():
-            raise ValueError('products and targets name different things')
+            raise ValueError('products and targets have different names')
         self._products = {
             name: dict(row) for name, row in evidence.products.items()
         }
@@ -234,68 +237,76 @@
         self._solve()
 
     def _solve(self) -> None:
-        """Improve each coefficient in turn, the others as they are."""
+        """Solve for the coefficients by coordinate descent."""
         self._pending = 0
         self.generation += 1
-        kinds = [_Weighed.of(kind) for kind in self._kinds]
-        usual = sum(kind.share * kind.mean for kind in self._kinds)
+        kinds = [_KindTerms.of(kind) for kind in self._kinds]
+        prior_mean = sum(kind.share * kind.mean for kind in self._kinds)
         values = {
-            name: self._values.get(name, usual) for name in self._products
+            name: self._values.get(name, prior_mean) for name in self._products
         }
         unit = self._scale * self._variance
-        found = {}
-        for _ in range(_SWEEPS):
-            moved = 0.0
+        posteriors = {}
+        for _ in range(_MAX_SWEEPS):
+            max_change = 0.0
             for name, row in self._products.items():
-                before = values[name]
-                rest = -row[name] * before
+                previous = values[name]
+                other_sum = -row[name] * previous
                 for other, product in row.items():
-                    rest += product * values[other]
-                target = (self._targets[name] - rest) / unit
-                belief = found[name] = _estimate(
+                    other_sum += product * values[other]
+                target = (self._targets[name] - other_sum) / unit
+                posterior = posteriors[name] = _estimate(
                     kinds, target, row[name] / unit
                 )
-                values[name] = min(max(belief.mean, 0.0), _HIGHEST)
-                moved = max(moved, abs(values[name] - before))
-            if moved < _SETTLED:
+                values[name] = min(max(posterior.mean, 0.0), _MAX_COEFFICIENT)
+                max_change = max(max_change, abs(values[name] - previous))
+            if max_change < _CONVERGED_CHANGE:
                 break
         self._values = values
-        self._beliefs = found
-        for name, belief in found.items():
-            bound = belief.mean + _BOUND_DEVIATIONS * belief.deviation
-            self._bounds[name] = min(max(bound, 0.0), _HIGHEST)
-            least = belief.mean - _LEAST_DEVIATIONS * belief.deviation
-            self._least[name] = min(max(least, 0.0), _HIGHEST)
-
-
-class _Weighed(t.NamedTuple):
-    """A kind, in the terms that estimates need."""
+        self._posteriors = posteriors
+        for name, posterior in posteriors.items():
+            upper_bound = (
+                posterior.mean + _BOUND_DEVIATIONS * posterior.deviation
+            )
+            self._upper_bounds[name] = min(
+                max(upper_bound, 0.0), _MAX_COEFFICIENT
+            )
+            lower_bound = (
+                posterior.mean - _LEAST_DEVIATIONS * posterior.deviation
+            )
+            self._lower_bounds[name] = min(
+                max(lower_bound, 0.0), _MAX_COEFFICIENT
+            )
+
+
+class _KindTerms(t.NamedTuple):
+    """A kind in the terms that estimates need."""
 
     precision: float
-    pull: float
+    weighted_mean: float
     score: float
 
     @classmethod
-    def of(cls, kind: Kind) -> '_Weighed':
-        """Return a kind's terms."""
-        spread = kind.deviation * kind.deviation
+    def of(cls, kind: Kind) -> '_KindTerms':
+        """Return the terms of a kind."""
+        variance = kind.deviation * kind.deviation
         score = math.log(kind.share)
-        score -= 0.5 * math.log(spread)
-        score -= 0.5 * kind.mean * kind.mean / spread
-        return cls(1 / spread, kind.mean / spread, score)
+        score -= 0.5 * math.log(variance)
+        score -= 0.5 * kind.mean * kind.mean / variance
+        return cls(1 / variance, kind.mean / variance, score)
 
 
 def _estimate(
-    kinds: t.Sequence[_Weighed], target: float, weight: float
-) -> Belief:
+    kinds: t.Sequence[_KindTerms], target: float, weight: float
+) -> Posterior:
     """Estimate one coefficient over its kinds.
 
     Parameters
     ----------
-    kinds : sequence of _Weighed
-        What it may be.
+    kinds : sequence of _KindTerms
+        The kinds it may be of.
     target, weight : float
-        The sums of ``x * y`` and of ``x * x`` over what was observed, in
+        The sums of ``x * y`` and of ``x * x`` over all observations, in
         units of the variance.
     """
     scores = []
@@ -303,24 +314,28 @@
     precisions = []
     for kind in kinds:
         precision = weight + kind.precision
-        mean = (target + kind.pull) / precision
-        # The likelihood of all observations under this kind, but for
-        # factors that both kinds share.
+        mean = (target + kind.weighted_mean) / precision
+        # Log-likelihood of all observations under this kind, up to terms
+        # common to all kinds.
         score = kind.score - 0.5 * math.log(precision)
         scores.append(score + 0.5 * mean * mean * precision)
         means.append(mean)
         precisions.append(precision)
     highest = max(scores)
-    parts = [math.exp(score - highest) for score in scores]
-    total = sum(parts)
+    probabilities = [math.exp(score - highest) for score in scores]
+    total = sum(probabilities)
     mean = 0.0
     square = 0.0
-    for part, one, precision in zip(parts, means, precisions, strict=True):
-        mean += part * one
-        square += part * (one * one + 1 / precision)
+    for weight_of_kind, kind_mean, precision in zip(
+        probabilities, means, precisions, strict=True
+    ):
+        mean += weight_of_kind * kind_mean
+        square += weight_of_kind * (kind_mean * kind_mean + 1 / precision)
     mean /= total
-    return Belief(
-        parts=tuple(part / total for part in parts),
+    return Posterior(
+        probabilities=tuple(
+            weight_of_kind / total for weight_of_kind in probabilities
+        ),
         means=tuple(means),
         weight=weight,
         mean=mean,
@@ -329,48 +344,52 @@
 
 
 def adapt_kinds(
-    prior: t.Sequence[Kind], beliefs: t.Collection[Belief], prior_count: float
+    prior: t.Sequence[Kind],
+    posteriors: t.Collection[Posterior],
+    prior_count: float,
 ) -> list[Kind]:
-    """Return kinds as what was observed suggests them.
+    """Return kinds adapted to the observed coefficients.
 
-    How many pairs of images press, and how much, differs between
-    deployments. What was seen of some pairs is the best guess for those
-    that were not seen yet.
+    How many pairs of images interfere, and how strongly, differs between
+    deployments. The pairs observed so far give the best estimate for those not
+    observed yet.
 
     Parameters
     ----------
     prior : sequence of Kind
-        What is thought before anything is observed.
-    beliefs : collection of Belief
-        What is believed of the coefficients that were observed.
+        The kinds assumed before any observation.
+    posteriors : collection of Posterior
+        The posteriors of the observed coefficients.
     prior_count : float
-        How many coefficients the prior weighs as much as.
+        Number of coefficients that the prior weighs as much as.
     """
-    certainties = [_measure_certainty(belief, prior) for belief in beliefs]
-    seen = sum(certainties)
+    certainties = [
+        _measure_certainty(posterior, prior) for posterior in posteriors
+    ]
+    total_certainty = sum(certainties)
     kinds = []
     for index, kind in enumerate(prior):
         total = prior_count * kind.share
         mean = total * kind.mean
         square = total * (kind.deviation**2 + kind.mean**2)
         count = total
-        for belief, certainty in zip(beliefs, certainties, strict=True):
-            part = belief.parts[index] * certainty
-            value = min(max(belief.means[index], 0.0), _MOST_TELLING)
-            count += part
-            mean += part * value
-            square += part * (value * value)
+        for posterior, certainty in zip(posteriors, certainties, strict=True):
+            weight_of_kind = posterior.probabilities[index] * certainty
+            value = min(max(posterior.means[index], 0.0), _MAX_INFORMATIVE)
+            count += weight_of_kind
+            mean += weight_of_kind * value
+            square += weight_of_kind * (value * value)
         mean /= count
         variance = max(square / count - mean * mean, 0.0)
-        least = _LEAST_DEVIATION_PART * kind.deviation
-        deviation = max(math.sqrt(variance), least)
-        share = count / (prior_count + seen)
+        min_deviation = _MIN_DEVIATION_SHARE * kind.deviation
+        deviation = max(math.sqrt(variance), min_deviation)
+        share = count / (prior_count + total_certainty)
         kinds.append(Kind(share, mean, deviation))
     return kinds
 
 
-def _measure_certainty(belief: Belief, prior: t.Sequence[Kind]) -> float:
+def _measure_certainty(posterior: Posterior, prior: t.Sequence[Kind]) -> float:
     """Return how well a coefficient is known, from 0 to 1."""
-    widest = max(kind.deviation for kind in prior)
-    known = belief.weight * widest * widest
-    return known / (known + _KNOWN_WEIGHT)
+    max_deviation = max(kind.deviation for kind in prior)
+    precision_ratio = posterior.weight * max_deviation * max_deviation
+    return precision_ratio / (precision_ratio + _HALF_CERTAINTY_RATIO)
--- a/src/persimmonsail/jobs/soundness.py
+++ b/src/persimmonsail/jobs/soundness.py
@@ -1,25 +1,25 @@
-"""Instances that fail what they start, or where nothing moves."""
+"""Health of instances: those that fail their runs or make no progress."""
 
 from persimmonsail.decisions import quarantine
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import observations
 from persimmonsail import logs
 
-# An instance that fails several jobs gets nothing for so long, then one
-# task at a time; troubles of that kind last some seconds.
-_SUSPECT_SECONDS = 4.0
-# An instance where nothing moves gets nothing for so long after the last
-# look that showed it; three looks without one end it.
-_STILL_PAUSE_SECONDS = 1.4
+# An instance that fails several jobs gets no work for this long, then one task
+# at a time; such failures usually last some seconds.
+_QUARANTINE_SECONDS = 4.0
+# An instance without progress gets no work for this long after the last poll
+# that showed it; three polls that don't show it end the pause.
+_STALL_PAUSE_SECONDS = 1.4
 
 
 class Soundness:
-    """Keeps new work from instances that fail it.
+    """Withholds new work from instances that fail it.
 
     Parameters
     ----------
     tracker : persimmonsail.decisions.quarantine.Tracker
-        Tells a bad instance from a bad job.
+        Distinguishes faulty instances from faulty jobs.
     """
 
     def __init__(self, tracker: quarantine.Tracker) -> None:
@@ -32,11 +32,11 @@
         failed: bool,
         now: float,
     ) -> None:
-        """Count a run that has failed or is done for or against its place."""
+        """Count a failed or completed run against or for its instance."""
         self._tracker.note(job, instance.address, failed)
         verdict = self._tracker.judge(instance.address)
         if failed and verdict.is_bad:
-            instance.suspect_until = now + _SUSPECT_SECONDS
+            instance.suspect_until = now + _QUARANTINE_SECONDS
             logs.write_warning(
                 'instance-suspect',
                 instance=instance.address,
@@ -47,7 +47,7 @@
 
 
 def note_progress(instance: instances.Instance, now: float) -> None:
-    """Give nothing new to an instance where nothing moves."""
+    """Start nothing new on an instance where no run makes progress."""
     if not observations.stands_still(instance, now):
         return
     if now >= instance.suspect_until:
@@ -56,5 +56,5 @@
             instance=instance.address,
             runs=len(instance.runs),
         )
-    until = now + _STILL_PAUSE_SECONDS
+    until = now + _STALL_PAUSE_SECONDS
     instance.suspect_until = max(instance.suspect_until, until)
--- a/tests/jobs/crashing.py
+++ b/tests/jobs/crashing.py
@@ -1,4 +1,4 @@
-"""What tests of crashing agents share."""
+"""Test case with tasks whose worker agents crash."""
 
 from persimmonsail.jobs import board as board_module
 from persimmonsail.jobs import crashes
@@ -9,8 +9,8 @@
 from tests.jobs import cases
 
 NOW = 100.0
-# Longer than after any crash one of the same moment may be heard of.
-LATER = 5.0
+# Longer than the time within which simultaneous crashes are reported.
+NEXT_GROUP_SECONDS = 5.0
 
 
 class CrashingCase(base.TestCase):
@@ -24,12 +24,12 @@
             for i in range(6)
         ]
         self.now = NOW
-        self.see()
+        self.poll()
         self.tracker = crashes.Tracker(self.board, lambda: self.fleet)
         self.serial = 0
 
-    def see(self):
-        """Have all agents answer at this moment."""
+    def poll(self):
+        """Mark all agents as having answered now."""
         for instance in self.fleet:
             instance.answered_at = self.now
 
@@ -42,14 +42,15 @@
         return task
 
     def crash(self, instance, *rows, ago=0.5):
-        """Place tasks on an instance, and have its agent crash under them.
+        """Place tasks on an instance and report a crash of its agent.
 
-        Rows are of a task, its run's seconds, and whether it was apart.
+        Each row is a task, the seconds its run lasted, and optionally whether
+        it ran in isolation.
         """
         crash = fleet_pb2.Crash(boot=instance.boot, ago_seconds=ago)
-        for task, seconds, *apart in rows:
+        for task, seconds, *isolated in rows:
             run = self.board.place(
-                task, instance.address, instance.boot, apart=bool(apart)
+                task, instance.address, instance.boot, apart=bool(isolated)
             )
             crash.runs.add(task=task.name, run=run, seconds=seconds)
         self.tracker.note(instance, crash, self.now)
@@ -58,9 +59,9 @@
             self.board.note_end(task, run, board_module.End.LOST, '', 2)
         return crash
 
-    def wait(self, seconds=LATER):
+    def wait(self, seconds=NEXT_GROUP_SECONDS):
         self.now += seconds
-        self.see()
+        self.poll()
 
     def is_failed(self, task):
         suspects.give_up_spent(self.board, self.now)
--- a/tests/jobs/crashplay.py
+++ b/tests/jobs/crashplay.py
@@ -1,7 +1,7 @@
-"""Tasks that crash their agents, played in virtual time.
+"""Simulates tasks that crash their worker agents, in virtual time.
 
-The leader's own decisions place tasks on agents that a bad task ends; what
-sidecars report comes as late and as coarse as from a real one.
+Tasks are placed by the leader's own decisions; reports arrive with the delay
+and the granularity of real sidecars.
 """
 
 import collections
@@ -24,35 +24,38 @@
 _TICK_SECONDS = 0.01
 _REPORT_SECONDS = 0.45
 _ROUND_SECONDS = 0.25
-_BEGIN = 100.0
-# So many crashes a sidecar tells the next leader of.
-_KEPT_CRASHES = 8
+_START = 100.0
+# Number of past crashes that a sidecar reports to a new leader.
+_MAX_REPORTED_CRASHES = 8
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
-    """What is played.
+class Scenario:
+    """Parameters of a simulation.
 
     Attributes
     ----------
     instances, bad, harmless : int
-        How many there are; each task is a job of its own.
+        Number of instances, of tasks that crash their agents, and of tasks
+        that do not; each task is a job of its own.
     seed : int
-        Draws the small differences in time.
+        Seed of the random delays.
     crash_seconds : tuple of float
         Bounds of the time from a bad task's start to its agent's crash.
     down_seconds : float
-        For how long a crashed agent is away.
+        How long a crashed agent is unreachable.
     work_seconds : float
         How long a harmless task takes.
-    way_seconds : tuple of float
-        Bounds of an order's way to the sidecar, and on to the agent.
-    within_seconds : float
-        The time over which the jobs are handed in.
-    losses : tuple of float
-        When all agents crash at one moment.
-    successions : tuple of float
+    delay_seconds : tuple of float
+        Bounds of an order's delay to the sidecar, and on to the agent.
+    arrival_seconds : float
+        The time over which the jobs are submitted.
+    power_losses : tuple of float
+        When all agents crash simultaneously.
+    leader_changes : tuple of float
         When another leader takes over.
+    max_seconds : float
+        After which time the simulation ends.
     """
 
     instances: int
@@ -62,119 +65,119 @@
     crash_seconds: tuple[float, float] = (0.003, 0.06)
     down_seconds: float = 0.2
     work_seconds: float = 0.4
-    way_seconds: tuple[float, float] = (0.003, 0.02)
-    within_seconds: float = 0.1
-    losses: tuple[float, ...] = ()
-    successions: tuple[float, ...] = ()
-    most_seconds: float = 120.0
+    delay_seconds: tuple[float, float] = (0.003, 0.02)
+    arrival_seconds: float = 0.1
+    power_losses: tuple[float, ...] = ()
+    leader_changes: tuple[float, ...] = ()
+    max_seconds: float = 120.0
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What a play came to.
+    """The result of a simulation.
 
     Attributes
     ----------
     starts : Counter
         How often each bad task was started.
     failed : set of str
-        Harmless jobs that were given up.
-    open : set of str
-        Jobs without an end.
+        Harmless jobs that failed.
+    unfinished : set of str
+        Jobs that have not ended.
     seconds : float
         When the last job ended.
     """
 
     starts: collections.Counter[str]
     failed: set[str]
-    open: set[str]
+    unfinished: set[str]
     seconds: float
 
     @property
-    def most_starts(self) -> int:
-        """The starts of the bad task that had most."""
+    def max_starts(self) -> int:
+        """The starts of the bad task that was started most often."""
         return max(self.starts.values(), default=0)
 
 
 @dataclasses.dataclass
 class _Run:
     key: instances.RunId
-    sent_at: float
+    ordered_at: float
     begins_at: float
     ends_at: float
     crashes_at: float | None
 
 
 class _Agent:
-    """A worker's agent and what its sidecar knows of it."""
+    """A worker's agent and what its sidecar knows about it."""
 
-    def __init__(self, number: int, drawn: random.Random) -> None:
+    def __init__(self, number: int, rng: random.Random) -> None:
         self.number = number
-        self._random = drawn
-        self._lives = 0
-        self.back_at = 0.0
-        # Each with when its boot last answered.
+        self._random = rng
+        self._incarnation = 0
+        self.restart_at = 0.0
+        # Each crash with the time of the boot's last answer.
         self.crashes: list[tuple[fleet_pb2.Crash, float]] = []
-        self.told = 0
-        self.over: list[str] = []
+        self.reported_count = 0
+        self.ended_boots: list[str] = []
         self.pending: list[_Run] = []
         self.runs: dict[instances.RunId, _Run] = {}
-        self.answered_at = _BEGIN
-        self.reported_at = _BEGIN + drawn.uniform(0, _REPORT_SECONDS)
-        self.looked_at = _BEGIN + drawn.uniform(0, _REPORT_SECONDS)
+        self.answered_at = _START
+        self.reported_at = _START + rng.uniform(0, _REPORT_SECONDS)
+        self.polled_at = _START + rng.uniform(0, _REPORT_SECONDS)
         self.changed = True
         self.ended: list[fleet_pb2.Ended] = []
         self._number = 0
 
     @property
     def boot(self) -> str:
-        return f'boot-{self.number}-{self._lives}'
+        return f'boot-{self.number}-{self._incarnation}'
 
     def order(self, run: _Run) -> None:
         self.pending.append(run)
 
     def crash(self, now: float, down_seconds: float) -> None:
-        """End with all runs; the sidecar tells of it later."""
-        if now < self.back_at:
+        """Crash with all runs; the sidecar reports it later."""
+        if now < self.restart_at:
             return
         crash = fleet_pb2.Crash(boot=self.boot)
-        rows = sorted(self.runs.values(), key=lambda run: -run.sent_at)
+        rows = sorted(self.runs.values(), key=lambda run: -run.ordered_at)
         for run in rows:
-            seconds = max(self.answered_at - run.sent_at, 0.0)
+            seconds = max(self.answered_at - run.ordered_at, 0.0)
             task, number = run.key
             crash.runs.add(task=task, run=number, seconds=seconds)
         self.crashes.append((crash, self.answered_at))
-        self.over.append(self.boot)
+        self.ended_boots.append(self.boot)
         self.runs.clear()
         self.pending.clear()
         self.ended.clear()
         self._number = 0
-        self.back_at = now + down_seconds + self._random.uniform(0, 0.2)
+        self.restart_at = now + down_seconds + self._random.uniform(0, 0.2)
 
     def tick(self, now: float, down_seconds: float) -> list[_Run]:
-        """Let time pass; return what has begun."""
-        if now < self.back_at:
+        """Advance the time; return the runs that have started."""
+        if now < self.restart_at:
             return []
-        if self.back_at:
-            self.back_at = 0.0
-            self._lives += 1
+        if self.restart_at:
+            self.restart_at = 0.0
+            self._incarnation += 1
             self.answered_at = now
             self.changed = True
-        begun = [one for one in self.pending if one.begins_at <= now]
-        for run in begun:
+        started = [one for one in self.pending if one.begins_at <= now]
+        for run in started:
             self.pending.remove(run)
             self.runs[run.key] = run
             self.answered_at = now
             self.changed = True
-        if now - self.looked_at > _REPORT_SECONDS:
-            self.looked_at = self.answered_at = now
+        if now - self.polled_at > _REPORT_SECONDS:
+            self.polled_at = self.answered_at = now
         for run in list(self.runs.values()):
             if run.crashes_at is not None and run.crashes_at <= now:
                 self.crash(now, down_seconds)
                 break
             if run.ends_at <= now:
                 self._end(run)
-        return begun
+        return started
 
     def _end(self, run: _Run) -> None:
         del self.runs[run.key]
@@ -190,66 +193,66 @@
         )
 
     def describe(
-        self, view: instances.Instance, now: float
+        self, instance: instances.Instance, now: float
     ) -> fleet_pb2.Report:
         """Return what the sidecar reports to the leader."""
         self.changed = False
         self.reported_at = now
-        report = cases.make_report(view)
+        report = cases.make_report(instance)
         report.boot = self.boot
-        report.over.extend(self.over)
+        report.over.extend(self.ended_boots)
         report.silent_seconds = now - self.answered_at
-        away = now < self.back_at
-        for run in () if away else self.runs.values():
+        is_down = now < self.restart_at
+        for run in () if is_down else self.runs.values():
             report.running.add(task=run.key[0], run=run.key[1])
-        if away:
-            # The runs of the last look, as the sidecar still sees them.
+        if is_down:
+            # The runs of the last poll, which the sidecar still reports.
             del report.over[-1:]
             for crashed in self.crashes[-1][0].runs:
                 report.running.add(task=crashed.task, run=crashed.run)
         for run in self.pending:
             report.pending.add(task=run.key[0], run=run.key[1])
         report.ended.extend(
-            row for row in self.ended if row.number > view.processed
+            row for row in self.ended if row.number > instance.processed
         )
-        # A crash is known when the agent is back as another boot.
-        known = len(self.crashes) - away
-        for crash, at in self.crashes[self.told : known]:
+        # A crash is known once the agent is back with another boot.
+        known_count = len(self.crashes) - is_down
+        for crash, at in self.crashes[self.reported_count : known_count]:
             crash.ago_seconds = now - at
             report.crashes.append(crash)
-        self.told = known
+        self.reported_count = known_count
         return report
 
 
-class Play:
-    """Plays a plan to its end."""
+class Simulation:
+    """Runs a scenario to its end."""
 
-    def __init__(self, plan: Plan) -> None:
-        self._plan = plan
-        self._random = random.Random(plan.seed)
+    def __init__(self, scenario: Scenario) -> None:
+        self._scenario = scenario
+        self._random = random.Random(scenario.seed)
         self._agents = [
-            _Agent(number, random.Random(plan.seed * 1000 + number))
-            for number in range(plan.instances)
+            _Agent(number, random.Random(scenario.seed * 1000 + number))
+            for number in range(scenario.instances)
         ]
-        bad = [f'b{number:015x}' for number in range(plan.bad)]
-        harmless = [f'a{number:015x}' for number in range(plan.harmless)]
+        bad = [f'b{number:015x}' for number in range(scenario.bad)]
+        harmless = [f'a{number:015x}' for number in range(scenario.harmless)]
         ids = bad + harmless
         self._random.shuffle(ids)
-        until = _BEGIN + plan.within_seconds
-        times = sorted(self._random.uniform(_BEGIN, until) for _ in ids)
+        until = _START + scenario.arrival_seconds
+        times = sorted(self._random.uniform(_START, until) for _ in ids)
         self._arrivals = list(zip(times, ids, strict=True))
         self._starts: collections.Counter[str] = collections.Counter()
         self._board = board_module.Board()
-        self._lead(_BEGIN)
+        self._start_leader(_START)
 
-    def _lead(self, now: float) -> None:
-        """Have another leader take over, with what the store keeps."""
-        loaded = board_module.Board()
+    def _start_leader(self, now: float) -> None:
+        """Start a new leader from what the store contains."""
+        board = board_module.Board()
         for job in self._board.jobs.values():
-            loaded.add(_copy(job))
-        self._board = loaded
+            board.add(_copy(job))
+        self._board = board
         self._places = places_module.Places()
-        self._views = [
+        self._instances = [
             cases.make_instance(
                 f'10.0.0.{agent.number}:7000',
                 cores=8,
@@ -264,23 +267,27 @@
             interference.Model(),
             lambda queue: 3,
             advice.Approvals(),
-            lambda: self._views,
+            lambda: self._instances,
         )
-        for agent, view in zip(self._agents, self._views, strict=True):
-            view.reported = False
-            view.boot = agent.boot
+        for agent, instance in zip(self._agents, self._instances, strict=True):
+            instance.reported = False
+            instance.boot = agent.boot
             agent.changed = True
-            # Sidecars tell each leader of theirs anew.
-            agent.told = max(0, len(agent.crashes) - _KEPT_CRASHES)
+            # Sidecars report their crashes to each leader again.
+            agent.reported_count = max(
+                0, len(agent.crashes) - _MAX_REPORTED_CRASHES
+            )
         self._adopt()
 
     def _adopt(self) -> None:
-        """Count what the claims of the leader before say."""
-        by_address = {view.address: view for view in self._views}
+        """Add the runs that the claims of the previous leader name."""
+        by_address = {
+            instance.address: instance for instance in self._instances
+        }
         for job in self._board.jobs.values():
             for task in job.list_placed():
-                view = by_address[task.state.instance]
-                view.add_run(
+                instance = by_address[task.state.instance]
+                instance.add_run(
                     instances.Run(
                         task=task.name,
                         number=task.state.run,
@@ -292,23 +299,25 @@
                 )
 
     def run(self) -> Outcome:
-        """Play until all jobs have ended, or for too long."""
-        now = _BEGIN
-        end = _BEGIN + self._plan.most_seconds
-        planned_at = 0.0
+        """Simulate until all jobs have ended or the time limit is reached."""
+        now = _START
+        end = _START + self._scenario.max_seconds
+        placed_at = 0.0
         while now < end:
             replan = self._submit(now)
-            self._fail(now)
-            for agent, view in zip(self._agents, self._views, strict=True):
-                self._note_starts(agent.tick(now, self._plan.down_seconds))
+            self._inject_faults(now)
+            for agent, instance in zip(
+                self._agents, self._instances, strict=True
+            ):
+                self._note_starts(agent.tick(now, self._scenario.down_seconds))
                 due = now - agent.reported_at > _REPORT_SECONDS
                 if agent.changed or due:
-                    report = agent.describe(view, now)
-                    replan |= self._reader.read(view, report, now).replan
-            if replan or now - planned_at > _ROUND_SECONDS:
-                planned_at = now
+                    report = agent.describe(instance, now)
+                    replan |= self._reader.read(instance, report, now).replan
+            if replan or now - placed_at > _ROUND_SECONDS:
+                placed_at = now
                 self._place(now)
-            if not self._arrivals and not self._list_open():
+            if not self._arrivals and not self._list_unfinished():
                 break
             now += _TICK_SECONDS
         failed = {
@@ -316,14 +325,16 @@
             for job in self._board.jobs.values()
             if job.phase is record.JobPhase.FAILED and job.id[0] == 'a'
         }
-        return Outcome(self._starts, failed, self._list_open(), now - _BEGIN)
+        return Outcome(
+            self._starts, failed, self._list_unfinished(), now - _START
+        )
 
-    def _note_starts(self, begun: list[_Run]) -> None:
-        for run in begun:
+    def _note_starts(self, started: list[_Run]) -> None:
+        for run in started:
             if run.crashes_at is not None:
                 self._starts[run.key[0].partition('.')[0]] += 1
 
-    def _list_open(self) -> set[str]:
+    def _list_unfinished(self) -> set[str]:
         return {
             job.id
             for job in self._board.jobs.values()
@@ -338,17 +349,19 @@
             replan = True
         return replan
 
-    def _fail(self, now: float) -> None:
-        for at in self._plan.losses:
-            if _is_now(_BEGIN + at, now):
+    def _inject_faults(self, now: float) -> None:
+        for at in self._scenario.power_losses:
+            if _is_now(_START + at, now):
                 for agent in self._agents:
-                    agent.crash(now, self._plan.down_seconds)
-        for at in self._plan.successions:
-            if _is_now(_BEGIN + at, now):
-                self._lead(now)
+                    agent.crash(now, self._scenario.down_seconds)
+        for at in self._scenario.leader_changes:
+            if _is_now(_START + at, now):
+                self._start_leader(now)
 
     def _place(self, now: float) -> None:
-        claims = cases.plan(self._board, self._places, self._views, now, now)
+        claims = cases.plan(
+            self._board, self._places, self._instances, now, now
+        )
         for claim in claims:
             claim.run.order = 1
             self._start(claim, now)
@@ -356,23 +369,27 @@
     def _start(self, claim: placer.Claim, now: float) -> None:
         (agent,) = (
             one
-            for one, view in zip(self._agents, self._views, strict=True)
-            if view is claim.instance
+            for one, instance in zip(
+                self._agents, self._instances, strict=True
+            )
+            if instance is claim.instance
         )
-        if agent.boot != claim.run.boot or now < agent.back_at:
+        if agent.boot != claim.run.boot or now < agent.restart_at:
             return
-        sent_at = now + self._random.uniform(*self._plan.way_seconds)
-        begins_at = sent_at + self._random.uniform(*self._plan.way_seconds)
+        ordered_at = now + self._random.uniform(*self._scenario.delay_seconds)
+        begins_at = ordered_at + self._random.uniform(
+            *self._scenario.delay_seconds
+        )
         crashes_at = None
         if claim.task.job.id[0] == 'b':
-            wait = self._random.uniform(*self._plan.crash_seconds)
-            crashes_at = begins_at + wait
+            crash_delay = self._random.uniform(*self._scenario.crash_seconds)
+            crashes_at = begins_at + crash_delay
         agent.order(
             _Run(
                 (claim.run.task, claim.run.number),
-                sent_at,
+                ordered_at,
                 begins_at,
-                begins_at + self._plan.work_seconds,
+                begins_at + self._scenario.work_seconds,
                 crashes_at,
             )
         )
--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -38,7 +38,7 @@
             approvals=self.approvals,
         )
 
-    async def take_question(self):
+    async def wait_question_briefly(self):
         with anyio.move_on_after(0.1):
             return await self.approvals.wait_question()
 
@@ -51,39 +51,39 @@
     async def test_tasks_start_with_tickets_on_approved_instances(self):
         """Every start on a queue with an advisor is rejected.
 
-        The step was placed wherever there was room, without a ticket.
+        The step was placed wherever there was capacity, without a permit.
         """
         self.assertEqual([], self.plan())
-        question = await self.take_question()
+        question = await self.wait_question_briefly()
         self.assertEqual(self.step, question.step)
-        # The one with the most room comes first.
+        # The instance with the most free capacity comes first.
         self.assertEqual(('b3', 'b2', 'b1', 'b0'), question.boots)
         self.answer(question, 'b1')
         claims = self.plan()
         self.assertEqual({'b1'}, {claim.instance.boot for claim in claims})
         self.assertEqual({'t-b1'}, {claim.ticket for claim in claims})
         self.assertEqual(3, len(claims))
-        # One task is left, and the only approved instance is full: no
-        # question is left that could help.
-        self.assertIsNone(await self.take_question())
+        # One task is left and the only approved instance is full, but all
+        # instances have been answered for, so no question remains.
+        self.assertIsNone(await self.wait_question_briefly())
 
     async def test_a_ticket_is_not_used_until_its_last_moment(self):
-        """A start is rejected since its ticket ran out on the way."""
+        """A start is rejected because its permit expired on the way."""
         self.plan()
-        self.answer(await self.take_question(), 'b1')
+        self.answer(await self.wait_question_briefly(), 'b1')
         self.assertEqual([], self.plan(NOW + VALID_SECONDS - 0.1))
-        question = await self.take_question()
-        # Only the approved one is asked about again: a no stays a no.
+        question = await self.wait_question_briefly()
+        # Only the approved instance is asked about again: denials are final.
         self.assertEqual(('b1',), question.boots)
 
     async def test_a_refused_ticket_is_asked_for_again(self):
-        """A step never starts: the same ticket is refused again and again.
+        """A step never starts: the same permit is refused repeatedly.
 
-        The worker was started anew, or its clock disagrees about the end
-        of the ticket.
+        The worker was restarted, or its clock differs about when the permit
+        expires.
         """
         self.plan()
-        self.answer(await self.take_question(), 'b1', 'b2')
+        self.answer(await self.wait_question_briefly(), 'b1', 'b2')
         self.approvals.drop_ticket(self.step, 'b1')
         claims = self.plan()
         self.assertEqual({'b2'}, {claim.instance.boot for claim in claims})
@@ -93,9 +93,9 @@
         self.assertNotIn('b1', self.approvals.find_tickets(self.step, NOW))
 
     async def test_a_question_names_a_batch_of_instances_with_room(self):
-        """A quick check starts late: its question named the whole fleet.
+        """A short check starts late: its question named the whole fleet.
 
-        The advisor takes its time for each instance that is named.
+        The advisor's answer takes longer the more instances a question names.
         """
         self.fleet = [
             cases.make_instance(f'10.0.0.{i}:7000', boot=f'b{i}')
@@ -104,33 +104,33 @@
         self.fleet[3].leaving = True
         full = self.fleet[4]
         cases.add_run(full, cases.make_step(1, size=full.capacity))
-        seen = []
+        asked_boots = []
         for asked in (advice.MOST_ASKED, advice.MOST_ASKED, 8):
             self.plan()
-            question = await self.take_question()
+            question = await self.wait_question_briefly()
             self.assertEqual(asked, len(question.boots))
-            seen += question.boots
+            asked_boots += question.boots
             self.answer(question)
-        self.assertEqual(68, len(set(seen)))
-        self.assertNotIn('b3', seen)
-        self.assertNotIn('b4', seen)
+        self.assertEqual(68, len(set(asked_boots)))
+        self.assertNotIn('b3', asked_boots)
+        self.assertNotIn('b4', asked_boots)
         self.plan()
-        self.assertIsNone(await self.take_question())
+        self.assertIsNone(await self.wait_question_briefly())
 
     async def test_what_nothing_waits_for_any_more_is_not_asked(self):
         self.plan()
         self.board.cancel(cases.ID)
         self.plan()
-        self.assertIsNone(await self.take_question())
+        self.assertIsNone(await self.wait_question_briefly())
 
     async def test_answers_about_an_ended_job_are_dropped(self):
         self.plan()
-        self.answer(await self.take_question(), 'b1')
+        self.answer(await self.wait_question_briefly(), 'b1')
         self.approvals.forget(cases.ID)
         self.assertEqual({}, self.approvals.find_tickets(self.step, NOW))
 
     async def test_an_advisor_that_fails_is_asked_again(self):
-        """Nothing starts on a queue after its advisor was busy once."""
+        """Nothing more starts on a queue after its advisor was busy once."""
         advisor = BusyAdvisor()
         answered = anyio.Event()
         self.plan()
@@ -147,7 +147,7 @@
 
 
 class BusyAdvisor(advisor.Advisor):
-    """Turns the first question away."""
+    """Rejects the first question."""
 
     def __init__(self):
         self.asked = 0
--- a/tests/jobs/test_capacities.py
+++ b/tests/jobs/test_capacities.py
@@ -9,8 +9,8 @@
 from tests.jobs import cases
 
 SERVICE = cases.QUEUE.service
-WIDE = specification.Size(64000, 1000, 0)
-HIGH = specification.Size(8000, 256000, 2)
+MANY_PROCESSORS = specification.Size(64000, 1000, 0)
+MUCH_MEMORY = specification.Size(8000, 256000, 2)
 
 
 def make_specification(*sizes, **fields):
@@ -19,10 +19,10 @@
 
 
 class CapacitiesTest(base.TestCase):
-    """A job is accepted and never begins.
+    """A job is accepted and never starts.
 
-    One of its steps is larger than every instance, so that its caller
-    waits for ever for something that can't be.
+    One of its steps is larger than every instance, so its caller waits
+    indefinitely.
     """
 
     def setUp(self):
@@ -35,15 +35,15 @@
             self.capacities.note(SERVICE, size)
 
     def check(self, *sizes, **fields):
-        found = make_specification(*sizes, **fields)
-        self.capacities.check(SERVICE, found)
+        parsed = make_specification(*sizes, **fields)
+        self.capacities.check(SERVICE, parsed)
 
     def test_a_step_has_to_fit_one_instance_as_a_whole(self):
-        self.note(WIDE, HIGH)
-        self.check(WIDE, HIGH)
+        self.note(MANY_PROCESSORS, MUCH_MEMORY)
+        self.check(MANY_PROCESSORS, MUCH_MEMORY)
         both = specification.Size(64000, 256000)
         error = self.assertRaises(
-            exceptions.JobInvalid, self.check, WIDE, both, both
+            exceptions.JobInvalid, self.check, MANY_PROCESSORS, both, both
         )
         text = str(error)
         self.assertNotIn('steps[0]', text)
@@ -52,18 +52,18 @@
         self.assertIn('64000 millicores', text)
 
     def test_processors_that_are_left_over_are_no_size(self):
-        self.note(WIDE)
+        self.note(MANY_PROCESSORS)
         large = specification.Size(900_000, 500)
         self.check(large, best_effort_cpu=True)
         self.assertRaises(exceptions.JobInvalid, self.check, large)
 
     def test_nothing_is_refused_before_an_instance_was_seen(self):
-        self.capacities.note('another', WIDE)
+        self.capacities.note('another', MANY_PROCESSORS)
         self.check(specification.Size(900_000, 1))
 
     def test_nothing_is_refused_once_kinds_were_left_out(self):
         kinds = capacities_module.MAX_KINDS
-        # None of them is as large as another in all it has.
+        # No capacity is at least as large as another in every resource.
         self.note(*(specification.Size(i, kinds - i) for i in range(kinds)))
         self.check(specification.Size(900_000, 1))
 
@@ -86,8 +86,8 @@
         await self.save({'a': cases.make_instance()})
         item = await self.store.get(record.CAPACITIES)
         await self.save({'b': cases.make_instance('b')})
-        again = await self.store.get(record.CAPACITIES)
-        self.assertEqual(item.revision, again.revision)
+        rewritten = await self.store.get(record.CAPACITIES)
+        self.assertEqual(item.revision, rewritten.revision)
 
     async def test_what_cannot_be_read_refuses_nothing(self):
         await self.store.put(record.CAPACITIES, '{"planner": 3}')
@@ -95,16 +95,16 @@
         self.check(specification.Size(900_000, 1))
 
     def test_rooms_that_swing_are_kept_by_the_largest(self):
-        """Jobs that fit nowhere are accepted, and never begin.
+        """Jobs that fit no instance are accepted and never start.
 
-        The capacity of an instance shrank and grew with each heartbeat; as
-        many different sizes as are kept were known soon, and from then on
-        no job was refused for its size.
+        The capacity of an instance varied with each heartbeat, so the limit of
+        recorded kinds was soon reached. From then on no job was refused for
+        its size.
         """
-        self.note(WIDE)
+        self.note(MANY_PROCESSORS)
         for millicores in range(60000, 63900, 10):
             self.note(specification.Size(millicores, 1000))
-        self.note(HIGH)
+        self.note(MUCH_MEMORY)
         both = specification.Size(64000, 256000)
         self.assertRaises(exceptions.JobInvalid, self.check, both)
-        self.check(WIDE, HIGH)
+        self.check(MANY_PROCESSORS, MUCH_MEMORY)
--- a/tests/jobs/test_crash_bounds.py
+++ b/tests/jobs/test_crash_bounds.py
@@ -1,24 +1,24 @@
-"""Bounds on what tasks that crash their agents may cost."""
+"""Bounds on the cost of tasks that crash their agents."""
 
 from tests import base
 from tests.jobs import crashplay
 
-# Three crashes tell who it was; two more starts may be on their way.
-MOST_STARTS = 5
+# Three crashes identify the task; two more starts may already be under way.
+MAX_STARTS = 5
 SEEDS = (1, 2, 3, 4, 24)
 
 
 class CrashBoundsTest(base.TestCase):
-    """Several tasks crash their agents at one moment."""
+    """Several tasks crash their agents simultaneously."""
 
     def check(self, **fields):
         for seed in SEEDS:
-            plan = crashplay.Plan(seed=seed, **fields)
-            outcome = crashplay.Play(plan).run()
-            case = f'{plan}: {outcome.starts}'
+            scenario = crashplay.Scenario(seed=seed, **fields)
+            outcome = crashplay.Simulation(scenario).run()
+            case = f'{scenario}: {outcome.starts}'
             self.assertEqual(set(), outcome.failed, case)
-            self.assertEqual(set(), outcome.open, case)
-            self.assertLessEqual(outcome.most_starts, MOST_STARTS, case)
+            self.assertEqual(set(), outcome.unfinished, case)
+            self.assertLessEqual(outcome.max_starts, MAX_STARTS, case)
 
     def test_two_instances(self):
         self.check(instances=2, bad=3, harmless=6)
@@ -48,7 +48,7 @@
         self.check(instances=16, bad=20, harmless=80, work_seconds=2.0)
 
     def test_bad_tasks_handed_in_one_after_the_other(self):
-        self.check(instances=2, bad=6, harmless=24, within_seconds=10.0)
+        self.check(instances=2, bad=6, harmless=24, arrival_seconds=10.0)
 
     def test_bad_tasks_that_crash_half_a_second_later(self):
         self.check(
@@ -65,7 +65,7 @@
                 instances=instances,
                 bad=instances,
                 harmless=24,
-                way_seconds=(0.1, 0.3),
+                delay_seconds=(0.1, 0.3),
             )
 
     def test_losses_of_power_blame_nobody(self):
@@ -73,7 +73,7 @@
             instances=2,
             bad=0,
             harmless=24,
-            losses=(0.3, 1.5, 2.7),
+            power_losses=(0.3, 1.5, 2.7),
             work_seconds=1.5,
         )
 
@@ -82,7 +82,7 @@
             instances=4,
             bad=4,
             harmless=12,
-            losses=(0.3, 1.5, 2.9),
+            power_losses=(0.3, 1.5, 2.9),
             work_seconds=1.0,
         )
 
@@ -91,11 +91,11 @@
             instances=2,
             bad=3,
             harmless=24,
-            successions=(0.5, 1.2, 2.0, 5.0, 8.0),
-            way_seconds=(0.003, 0.15),
+            leader_changes=(0.5, 1.2, 2.0, 5.0, 8.0),
+            delay_seconds=(0.003, 0.15),
         )
 
     def test_leaders_that_follow_each_other(self):
         self.check(
-            instances=6, bad=6, harmless=24, successions=(0.5, 1.2, 2.0)
+            instances=6, bad=6, harmless=24, leader_changes=(0.5, 1.2, 2.0)
         )
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -11,14 +11,14 @@
 
 
 class CrashesTest(crashing.CrashingCase):
-    """Everything that ran on an agent has its crash to its name.
+    """Every run on a crashed agent is a suspect; at most one is the cause.
 
-    One task did it, or none; a job that did nothing and ends as failed is
-    as bad for its caller as one that goes round for ever.
+    Failing a job that caused nothing is as bad for its caller as retrying one
+    without end that crashes each agent.
     """
 
     def test_a_task_that_was_never_apart_is_not_given_up_at_three(self):
-        """An innocent was started beside the bad task each time."""
+        """A harmless task was started beside the bad task each time."""
         bad, innocent = self.add_task(), self.add_task()
         for instance in self.fleet[:3]:
             self.crash(instance, (innocent, 0.02), (bad, 0.01))
@@ -27,26 +27,23 @@
         self.assertEqual(3, innocent.state.crashes.count)
 
     def test_starts_beside_a_suspect_take_the_proof_from_its_crash(self):
-        """A quick job is answered as failed, and crashed nothing.
+        """A short job is reported as failed although it crashed nothing.
 
-        An agent crashed by itself under its first run; the second and the
-        third were on agents that had just come back, where sixteen tasks
-        began at one moment, new bad ones among them. To have been there
-        before was held to be proof, and so was to be apart from other
-        suspects, though nothing kept it apart from what began just before:
-
-            crash-counted task=4.0.0.0 run=2 count=2 apart=no runs=16
-            crash-counted task=4.0.0.0 run=3 count=3 apart=yes runs=16
-            job-given-up task=4.0.0.0 crashes=3 longest_ms=186
+        An agent crashed by itself under its first run, 186 ms after the start.
+        The second and third runs were on agents that had just come back, where
+        sixteen tasks started simultaneously, new bad ones among them. Presence
+        at an earlier crash was taken as evidence, and so was isolation from
+        other suspects, although nothing isolated the run from tasks that had
+        started just before.
         """
         innocent = self.add_task()
         self.crash(self.fleet[0], (innocent, 0.186))
-        for number, apart in ((1, ()), (2, (True,))):
+        for number, isolated in ((1, ()), (2, (True,))):
             self.wait()
-            fresh = [self.add_task() for _ in range(15)]
-            rows = [(task, 0.045) for task in fresh]
-            crashed = self.fleet[number]
-            self.crash(crashed, (innocent, 0.04, *apart), *rows)
+            new_tasks = [self.add_task() for _ in range(15)]
+            rows = [(task, 0.045) for task in new_tasks]
+            instance = self.fleet[number]
+            self.crash(instance, (innocent, 0.04, *isolated), *rows)
         self.wait()
         self.assertEqual(0, innocent.state.crashes.proofs)
         self.assertFalse(self.is_failed(innocent))
@@ -60,7 +57,7 @@
         self.assertFalse(self.is_failed(task))
 
     def test_a_run_of_unknown_age_is_no_suspect(self):
-        """The sidecar was restarted, and doesn't know when it began."""
+        """The sidecar was restarted and doesn't know when the run began."""
         task = self.add_task()
         self.crash(self.fleet[0], (task, float('inf')))
         self.assertEqual(0, task.state.crashes.count)
@@ -90,8 +87,8 @@
     def test_a_loss_of_power_takes_no_proof_that_it_did_not_give(self):
         """A bad task is started once more for each loss of power.
 
-        Its next crash, beside others, was part of one; with it, a proof
-        was taken back that an earlier crash had given.
+        Its next crash, beside others, was part of a power loss. Rolling that
+        crash back also removed evidence that an earlier crash had given.
         """
         task, other = self.add_task(), self.add_task()
         self.crash(self.fleet[0], (task, 0.01))
@@ -107,7 +104,7 @@
         self.assertEqual(1, task.state.crashes.proofs)
 
     def test_agents_that_are_still_silent_count_as_crashed(self):
-        """One of three that lost power at a time is back first."""
+        """The first of three agents that lost power simultaneously is back."""
         task = self.add_task()
         for instance in self.fleet[1:3]:
             instance.answered_at = crashing.NOW - 3.0
@@ -122,57 +119,56 @@
         self.assertEqual(1, second.state.crashes.count)
 
     def test_after_many_crashes_at_once_what_had_begun_begins_in_turn(self):
-        """Bad tasks of one step crash several agents at one moment.
-
-        Started again together they look like a loss of power again. Their
-        turns were points in time; the agents came back after the last of
-        them, and all began at once (564.03 to 564.06, after 561.82):
+        """Bad tasks of one step crash several agents simultaneously.
 
-            crash-at-once instance=side-4 instances=3
-            crash-at-once instance=side-1 instances=3
+        Restarted simultaneously, they looked like another loss of power. Their
+        starts had been serialised by fixed times; the agents came back after
+        the last of these, and all tasks started at about the same time (564.03
+        to 564.06, after 561.82).
         """
         tasks = [self.add_task() for _ in range(4)]
         others = [self.add_task() for _ in range(8)]
         for number, task in enumerate(tasks):
-            beside = others[2 * number : 2 * number + 2]
-            rows = [(other, 0.06) for other in beside]
+            colocated = others[2 * number : 2 * number + 2]
+            rows = [(other, 0.06) for other in colocated]
             self.crash(self.fleet[number], (task, 0.01), *rows)
-        begun = self.place_all(self.now + 3.0, 4.0)
-        times = sorted(begun[task.name] for task in tasks)
+        started_at = self.place_all(self.now + 3.0, 4.0)
+        times = sorted(started_at[task.name] for task in tasks)
         for before, after in itertools.pairwise(times):
             self.assertGreater(after - before, 0.3)
-        # What began before them is hardly to blame, and waits for no turn.
-        last = max(begun[other.name] for other in others)
-        self.assertLess(last, self.now + 3.1)
+        # Tasks that began earlier are unlikely to be the cause; their starts
+        # are not serialised.
+        last_start = max(started_at[other.name] for other in others)
+        self.assertLess(last_start, self.now + 3.1)
 
     def place_all(self, now, seconds):
-        """Place what waits, round by round; return when each began."""
-        begun = {}
+        """Place waiting tasks in rounds; return when each was started."""
+        started_at = {}
         until = now + seconds
-        places = places_module.Places()
+        snapshot = places_module.Places()
         while now < until:
             self.now = now
-            self.see()
-            claims = cases.plan(self.board, places, self.fleet, now, now)
+            self.poll()
+            claims = cases.plan(self.board, snapshot, self.fleet, now, now)
             for claim in claims:
-                begun[claim.task.name] = now
+                started_at[claim.task.name] = now
                 claim.run.seen_at = now
             now += 0.05
-        return begun
+        return started_at
 
     def test_the_same_crash_of_many_is_excused_three_times_only(self):
-        """Bad tasks that begin together look like a loss of power for ever."""
+        """Bad tasks that always start together look like power losses."""
         tasks = [self.add_task() for _ in self.fleet]
-        for excused in (1, 2, 3, 3):
+        for expected_count in (1, 2, 3, 3):
             for task, instance in zip(tasks, self.fleet, strict=True):
                 self.crash(instance, (task, 0.01, True))
             self.wait()
             counts = {task.state.crashes.excused for task in tasks}
-            self.assertEqual({excused}, counts)
+            self.assertEqual({expected_count}, counts)
         self.assertEqual({1}, {task.state.crashes.count for task in tasks})
 
     def test_trials_that_follow_each_other_are_no_loss_of_power(self):
-        """Two bad tasks excuse each other, on two instances in turn."""
+        """Two bad tasks, tried alternately on two instances, are excused."""
         del self.fleet[2:]
         first, second = self.add_task(), self.add_task()
         self.crash(self.fleet[0], (first, 0.01), ago=0.2)
@@ -182,7 +178,7 @@
         self.assertEqual(1, second.state.crashes.count)
 
     def test_an_excuse_outlives_its_leader(self):
-        """Each leader excuses the same tasks anew."""
+        """Each new leader excuses the same tasks again."""
         tasks = [self.add_task() for _ in self.fleet]
         for task, instance in zip(tasks, self.fleet, strict=True):
             self.crash(instance, (task, 0.01))
@@ -191,7 +187,7 @@
             self.assertEqual(1, stored.tasks[task.key].crashes.excused)
 
     def test_what_crashed_beside_a_trial_before_counts_as_excused(self):
-        """A crash that another explains is forgotten, and a start with it."""
+        """A crash caused by another task is dropped, and a start with it."""
         suspect, other = self.add_task(), self.add_task()
         for instance, task in zip(self.fleet, (suspect, other), strict=False):
             self.crash(instance, (task, 0.01))
@@ -201,9 +197,10 @@
         self.assertEqual(1, other.state.crashes.excused)
 
     def test_a_crash_that_is_told_again_counts_once(self):
-        """A new leader hears from the sidecars of what the last one counted.
+        """Sidecars report crashes again to a new leader.
 
-        The store has the count beside the claim, and which run it is of.
+        The store has the count beside the claim, and the number of the run
+        that was counted last.
         """
         task = self.add_task()
         crash = self.crash(self.fleet[0], (task, 0.01))
@@ -214,7 +211,7 @@
         self.assertEqual(1, task.state.crashes.count)
 
     def test_a_crash_counts_when_it_is_learnt_of(self):
-        """The instance was behind a cut; its task runs elsewhere by now."""
+        """The instance was partitioned; its task runs elsewhere by now."""
         task = self.add_task()
         old = self.board.place(task, self.fleet[0].address, 'boot-0')
         self.board.note_end(task, old, board_module.End.LOST, '', 2)
@@ -225,10 +222,10 @@
         self.assertEqual(1, task.state.crashes.count)
 
     def test_what_began_later_takes_the_proof_from_a_suspect(self):
-        """A suspect that is apart is held responsible for another's crash.
+        """An isolated suspect is held responsible for another task's crash.
 
-        A leader that took over knew nothing of it, and started a bad task
-        beside it.
+        A new leader did not know about the isolation and started a bad task
+        beside the suspect.
         """
         suspect, bad = self.add_task(), self.add_task()
         self.crash(self.fleet[0], (suspect, 0.01))
@@ -238,7 +235,7 @@
         self.assertEqual(1, bad.state.crashes.count)
 
     def test_the_crash_of_one_that_is_apart_counts_for_no_other(self):
-        """What had been there before it loses its work, not its name."""
+        """Earlier runs beside it are lost, but not counted as crashes."""
         suspect, innocent = self.add_task(), self.add_task()
         self.crash(self.fleet[0], (suspect, 0.01))
         self.wait()
@@ -251,7 +248,7 @@
         self.assertEqual(0, innocent.state.crashes.count)
 
     def test_nothing_is_held_against_the_instance(self):
-        """A crashed instance is sound: only the task keeps away from it."""
+        """A crashed instance is healthy: only the task avoids it."""
         task = self.add_task()
         self.crash(self.fleet[0], (task, 0.01))
         self.assertEqual({self.fleet[0].address}, task.avoid)
--- a/tests/jobs/test_interference.py
+++ b/tests/jobs/test_interference.py
@@ -7,14 +7,14 @@
 from tests.jobs import cases
 
 TARGET_MS = 18
-OWN_MS = 4.0
-LOOK_SECONDS = 0.45
+BASE_MS = 4.0
+POLL_SECONDS = 0.45
 SERVING = cases.make_step(
     1, image='shop', latency_target_ms=TARGET_MS, long_running=True
 )
 
 
-def make_filler(image):
+def make_best_effort_step(image):
     return cases.make_step(1, image=image, best_effort_cpu=True)
 
 
@@ -23,12 +23,12 @@
 
     Parameters
     ----------
-    pressures : dict of str to float
+    coefficients : dict of str to float
         The true coefficient of each best-effort image.
     """
 
-    def __init__(self, pressures, seed=1):
-        self.pressures = pressures
+    def __init__(self, coefficients, seed=1):
+        self.coefficients = coefficients
         self.random = random.Random(seed)
         self.instances = [
             cases.make_instance(f'10.0.0.{i}:7000') for i in range(3)
@@ -36,70 +36,71 @@
         for i, instance in enumerate(self.instances):
             cases.add_run(instance, SERVING, f'00000000000000bb.0.0.{i}')
 
-    def fill(self, index, image, cores):
-        step = make_filler(image)
+    def add_best_effort(self, index, image, cores):
+        step = make_best_effort_step(image)
         name = f'00000000000000c{index}.0.0.{len(self.instances[index].runs)}'
         run = cases.add_run(self.instances[index], step, name)
         run.gauge = cores * 1000
         return run
 
-    def look(self, model, now, load):
+    def poll(self, model, now, load):
         for instance in self.instances:
-            parts = gauges.measure_parts(instance)
-            full = load + sum(
-                self.pressures[image] * part for image, part in parts.items()
+            shares = gauges.measure_shares(instance)
+            fullness = load + sum(
+                self.coefficients[image] * share
+                for image, share in shares.items()
             )
             for run in instance.serving:
-                noise = self.random.uniform(0.95, 1.05)
-                run.gauge = OWN_MS / (1 - min(full, 0.98)) * noise
-                over = run.gauge > TARGET_MS
-                run.over_since = (run.over_since or now) if over else 0.0
+                noise_factor = self.random.uniform(0.95, 1.05)
+                run.gauge = BASE_MS / (1 - min(fullness, 0.98)) * noise_factor
+                is_over = run.gauge > TARGET_MS
+                run.over_since = (run.over_since or now) if is_over else 0.0
             model.learn(instance, now)
 
 
 class InterferenceTest(base.TestCase):
-    """Replays best-effort tasks beside serving ones whose load swings.
+    """Replays best-effort tasks colocated with varying serving load.
 
-    Half of the images press on what serves beside them, the others not
-    at all; which is which shows only in gauges, and the load swings by
-    half within seconds.
+    Half of the images interfere with colocated serving tasks, the others
+    don't. Only gauges show which is which, and the load varies by half within
+    seconds.
     """
 
-    def play(self, fleet, model, seconds=20.0):
+    def simulate(self, fleet, model, seconds=20.0):
         now = 100.0
         while now < 100.0 + seconds:
-            swing = 0.42 + 0.21 * (((now * 0.2) % 2) - 1)
-            fleet.look(model, now, swing)
-            now += LOOK_SECONDS
+            load = 0.42 + 0.21 * (((now * 0.2) % 2) - 1)
+            fleet.poll(model, now, load)
+            now += POLL_SECONDS
         return now
 
     def test_it_tells_what_presses_from_what_does_not(self):
         model = interference.Model()
         fleet = Fleet({'loud': 2.0, 'quiet': 0.0})
-        fleet.fill(0, 'loud', 6)
-        fleet.fill(1, 'quiet', 20)
-        self.play(fleet, model)
+        fleet.add_best_effort(0, 'loud', 6)
+        fleet.add_best_effort(1, 'quiet', 20)
+        self.simulate(fleet, model)
         loud = model.get_coefficient('shop', 'loud')
         quiet = model.get_coefficient('shop', 'quiet')
         self.assertGreater(loud, 1.0)
         self.assertLess(quiet, 0.15)
 
     def test_what_does_not_press_works_at_full_speed(self):
-        """Builds crawl although they disturb nobody.
+        """Best-effort tasks are throttled although they don't interfere.
 
-        A watcher beside them was over its target once, and everything
-        beside it was slowed alike.
+        A serving task missed its target once, and all best-effort tasks beside
+        it were throttled alike.
         """
         model = interference.Model()
         fleet = Fleet({'loud': 2.0, 'quiet': 0.0})
-        loud = fleet.fill(0, 'loud', 6)
-        quiet = fleet.fill(0, 'quiet', 6)
-        fleet.fill(1, 'quiet', 20)
-        fleet.fill(2, 'loud', 3)
-        now = self.play(fleet, model)
+        loud = fleet.add_best_effort(0, 'loud', 6)
+        quiet = fleet.add_best_effort(0, 'quiet', 6)
+        fleet.add_best_effort(1, 'quiet', 20)
+        fleet.add_best_effort(2, 'loud', 3)
+        now = self.simulate(fleet, model)
         instance = fleet.instances[0]
         loud.due = quiet.due = now + 10
-        fleet.look(model, now, 0.65)
+        fleet.poll(model, now, 0.65)
         changes = {
             change.run: change.percent
             for change in pace.decide(instance, model, now)
@@ -108,34 +109,34 @@
         self.assertLess(changes[loud], 60)
 
     def test_a_missed_target_stops_what_presses_in_time(self):
-        """A watcher stays over its target for 4 s beside a build.
+        """A serving task misses its target for 4 s beside a best-effort task.
 
-        Nothing was learnt of the pair yet, so that the build's pace is
-        thought harmless.
+        Nothing was learnt about the pair yet, so the best-effort task's speed
+        limit was estimated to be harmless.
         """
         model = interference.Model()
         fleet = Fleet({'loud': 6.0})
-        run = fleet.fill(0, 'loud', 20)
+        run = fleet.add_best_effort(0, 'loud', 20)
         now = 100.0
         while now < 103.0:
-            fleet.look(model, now, 0.5)
+            fleet.poll(model, now, 0.5)
             for change in pace.decide(fleet.instances[0], model, now):
                 run.pace = change.percent
                 run.paced_at = now
-            now += LOOK_SECONDS
+            now += POLL_SECONDS
         self.assertEqual(0, run.pace)
 
     def test_what_is_due_first_gets_the_pressure(self):
-        """All builds of a burst are late by a little.
+        """All best-effort tasks of a burst miss their due time by a little.
 
-        What a watcher bears was shared between them alike.
+        The tolerable interference was shared between them equally.
         """
         model = interference.Model()
         fleet = Fleet({'loud': 2.0})
-        early = fleet.fill(0, 'loud', 4)
-        late = fleet.fill(0, 'loud', 4)
-        fleet.fill(1, 'loud', 3)
-        now = self.play(fleet, model)
+        early = fleet.add_best_effort(0, 'loud', 4)
+        late = fleet.add_best_effort(0, 'loud', 4)
+        fleet.add_best_effort(1, 'loud', 3)
+        now = self.simulate(fleet, model)
         early.due, late.due = now + 2, now + 9
         early.step = late.step = cases.make_step(
             1,
@@ -143,7 +144,7 @@
             best_effort_cpu=True,
             size=cases.specification.Size(10000, 100),
         )
-        fleet.look(model, now, 0.3)
+        fleet.poll(model, now, 0.3)
         early.paced_at = late.paced_at = 0.0
         changes = {
             change.run: change.percent
--- a/tests/jobs/test_memory.py
+++ b/tests/jobs/test_memory.py
@@ -8,18 +8,19 @@
 from tests.jobs import test_interference
 
 
-class SilentStore:
-    """A store that answers nothing."""
+class UnresponsiveStore:
+    """A store that never answers."""
 
     async def put(self, key, value):
         await anyio.sleep_forever()
 
 
 class MemoryTest(base.TestCase):
-    """A leader is replaced while heavy jobs run beside serving ones.
+    """A leader is replaced while heavy jobs run beside serving tasks.
 
-    The new leader knew nothing of the images, so each build was let in
-    beside each watcher once more, and watchers missed their targets.
+    The new leader knew nothing about the images, so each heavy job was
+    colocated with each serving task once more, and serving tasks missed their
+    targets.
     """
 
     def setUp(self):
@@ -29,11 +30,11 @@
     def learn(self):
         model = interference.Model()
         fleet = test_interference.Fleet({'loud': 2.0, 'quiet': 0.0})
-        fleet.fill(0, 'loud', 6)
-        fleet.fill(1, 'quiet', 20)
+        fleet.add_best_effort(0, 'loud', 6)
+        fleet.add_best_effort(1, 'quiet', 20)
         now = 100.0
         while now < 115.0:
-            fleet.look(model, now, 0.4)
+            fleet.poll(model, now, 0.4)
             now += 0.45
         return model
 
@@ -52,10 +53,10 @@
         self.assertLess(after.get_bound('shop', 'quiet'), 0.75)
 
     async def test_a_leader_that_stops_soon_hands_on_what_it_learnt(self):
-        """Entries are restarted in turn, and watchers miss their targets.
+        """Entries restart one after another, and targets are missed.
 
-        Each entry led for less than the period of its saves, so that none
-        handed on anything.
+        Each entry led for less than its save period, so none handed over what
+        it had learnt.
         """
         await memory.save_last(self.store, self.learn())
         item = await self.store.get(record.KNOWLEDGE)
@@ -64,10 +65,10 @@
     async def test_a_slow_store_keeps_no_leader_from_stopping(self):
         """Nothing starts for a second after an entry was stopped.
 
-        The leader waited for its last save while the store was silent.
+        The leader waited for its last save while the store did not respond.
         """
         with anyio.fail_after(1.0):
-            await memory.save_last(SilentStore(), self.learn())
+            await memory.save_last(UnresponsiveStore(), self.learn())
 
     async def test_what_cannot_be_read_is_learnt_anew(self):
         model = interference.Model()
--- a/tests/jobs/test_suspects.py
+++ b/tests/jobs/test_suspects.py
@@ -7,15 +7,15 @@
 
 
 class SuspectsTest(crashing.CrashingCase):
-    """A task is given up for what it did, and for nothing else."""
+    """A task's job fails for its own crashes only."""
 
     def test_three_crashes_at_once_end_the_job_with_their_cause(self):
         task = self.add_task()
-        for instance, apart in zip(
+        for instance, isolated in zip(
             self.fleet, ((), (True,), (True,)), strict=False
         ):
             self.assertFalse(self.is_failed(task))
-            self.crash(instance, (task, 0.01, *apart))
+            self.crash(instance, (task, 0.01, *isolated))
             self.wait()
         self.assertTrue(self.is_failed(task))
         self.assertIn(task.name, task.job.progress.reason)
@@ -89,16 +89,12 @@
         self.assertTrue(suspects.needs_apart(task, crashing.NOW + 2.0))
         self.assertFalse(suspects.needs_apart(task, crashing.NOW + 3.5))
 
-    def test_one_that_was_at_three_crashes_is_tried_apart_or_not_at_all(self):
-        """A bad task ends six agents and more, among many other bad ones.
+    def test_a_task_with_three_crashes_waits_longer_for_isolation(self):
+        """A bad task crashes more than six agents, among many other bad ones.
 
-        It waited 10 s for an instance of its own and was then started
-        beside others, where its crash told nothing:
-
-            crash-counted task=30.0.0.0 run=5 count=3 apart=no runs=3
-            crash-counted task=30.0.0.0 run=6 count=4 apart=no runs=11
-            crash-counted task=30.0.0.0 run=7 count=5 apart=yes runs=1
-            crash-counted task=30.0.0.0 run=8 count=6 apart=yes runs=1
+        After waiting 10 s for an instance of its own it was started beside
+        others, where its third and fourth crash were no evidence. Only its
+        fifth and sixth crash came in isolation.
         """
         bad, other = self.add_task(), self.add_task()
         for instance in self.fleet[:3]:
@@ -106,7 +102,7 @@
             self.wait()
         self.assertTrue(suspects.needs_apart(bad, self.now))
         self.assertTrue(suspects.needs_apart(bad, self.now + 25.0))
-        # Not for ever: it may have done nothing.
+        # The wait is limited, since the task may not be the cause.
         self.assertFalse(suspects.needs_apart(bad, self.now + 31.0))
 
     def test_a_gang_is_never_tried_apart(self):
