--- a/src/persimmonsail/jobs/advice.py
+++ b/src/persimmonsail/jobs/advice.py
@@ -23,7 +23,7 @@
 from persimmonsail import logs
 
 # Callers' objectives allow for one question about this many instances.
-MOST_ASKED = 30
+MAX_INSTANCES_ASKED = 30
 # A permit that expires sooner is not used: the claim of a run has to be
 # committed and its order has to arrive first, which takes 50 ms in most cases
 # and 0.3 s with a slow store.
@@ -81,7 +81,9 @@
         if not candidates:
             return
         candidates.sort(key=lambda i: i.free.millicores, reverse=True)
-        boots = tuple(instance.boot for instance in candidates[:MOST_ASKED])
+        boots = tuple(
+            instance.boot for instance in candidates[:MAX_INSTANCES_ASKED]
+        )
         self._questions[step] = advisor_module.Question(step, boots)
         self._changed.set()
 
--- a/src/persimmonsail/jobs/observations.py
+++ b/src/persimmonsail/jobs/observations.py
@@ -105,7 +105,7 @@
     return changed
 
 
-def stands_still(instance: instances.Instance, now: float) -> bool:
+def is_stalled(instance: instances.Instance, now: float) -> bool:
     """Return whether an instance's runs make no progress although they should.
 
     Load pattern: a worker's agent responds and reports as usual while its
--- a/src/persimmonsail/jobs/soundness.py
+++ b/src/persimmonsail/jobs/soundness.py
@@ -48,7 +48,7 @@
 
 def note_progress(instance: instances.Instance, now: float) -> None:
     """Start nothing new on an instance where no run makes progress."""
-    if not observations.stands_still(instance, now):
+    if not observations.is_stalled(instance, now):
         return
     if now >= instance.suspect_until:
         logs.write_warning(
--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -105,7 +105,11 @@
         full = self.fleet[4]
         cases.add_run(full, cases.make_step(1, size=full.capacity))
         asked_boots = []
-        for asked in (advice.MOST_ASKED, advice.MOST_ASKED, 8):
+        for asked in (
+            advice.MAX_INSTANCES_ASKED,
+            advice.MAX_INSTANCES_ASKED,
+            8,
+        ):
             self.plan()
             question = await self.wait_question_briefly()
             self.assertEqual(asked, len(question.boots))
