--- a/src/persimmonsail/jobs/__init__.py
+++ b/src/persimmonsail/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of several steps, from their acceptance to their end."""
+"""Multi-step jobs, from acceptance to completion."""
--- a/src/persimmonsail/jobs/board.py
+++ b/src/persimmonsail/jobs/board.py
@@ -1,8 +1,8 @@
-"""All jobs that the leader knows, and what may happen to them next.
+"""The leader's in-memory state of all jobs, and its transitions.
 
-The board is plain state without input or output. Whatever changes a job
-marks it as changed; the leader commits changed jobs before anything that
-follows from the change leaves the process.
+The board performs no input or output. Every change of a job marks it as
+changed; the leader commits changed jobs before any effect of the change
+leaves the process.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class End(enum.StrEnum):
-    """How a run ended, as the worker's agent says."""
+    """How a run ended, as reported by the worker's agent."""
 
     DONE = 'done'
     FAILED = 'failed'
@@ -24,24 +24,24 @@
     LAPSED = 'lapsed'
     BROKEN = 'broken'
     ALONE = 'alone'
-    # Not said by an agent: its process has ended, or the order never ran.
+    # Not reported by agents: the process is gone, or the order never ran.
     LOST = 'lost'
     NOT_STARTED = 'not-started'
 
 
 class Board:
-    """The leader's jobs by their ids.
+    """The leader's jobs by id.
 
     Attributes
     ----------
     changed : set of str
-        Jobs whose progress has to be committed.
+        Jobs whose progress must be committed.
     broken : list of persimmonsail.jobs.job.Task
-        Tasks of gangs whose run ended without success; what else of the
-        gang has a place waits in vain and has to be stopped.
+        Gang tasks whose run ended without success; the other placed
+        members of the gang can't finish and must be stopped.
     recalled : list of persimmonsail.jobs.job.Task
-        Tasks that an earlier run has done; their last one has a place
-        and has to be stopped.
+        Tasks completed by an earlier run; their last run is still placed
+        and must be stopped.
     """
 
     def __init__(self) -> None:
@@ -49,16 +49,16 @@
         self.changed: set[str] = set()
         self.broken: list[job_module.Task] = []
         self.recalled: list[job_module.Task] = []
-        # Jobs with checkpoints that are not committed.
-        self._unsaved: set[str] = set()
-        # Tasks that crashes are held against, by name.
+        # Jobs with uncommitted checkpoints.
+        self._uncommitted: set[str] = set()
+        # Tasks suspected of crashing agents, by name.
         self.suspects: dict[str, job_module.Task] = {}
-        # When each cancel was heard of, in milliseconds since the epoch. It
-        # may come before its job, and some come alone.
+        # When each cancel was received, in milliseconds since the epoch. It
+        # may arrive before its job, or without one.
         self._cancelled: dict[str, int] = {}
 
     def add(self, job: job_module.Job) -> bool:
-        """Take a job in; tell whether it is new."""
+        """Add a job; return whether it is new."""
         if job.id in self.jobs:
             return False
         self.jobs[job.id] = job
@@ -71,14 +71,14 @@
 
     def find(self, name: str) -> job_module.Task | None:
         """Return a task by its full name."""
-        parsed = record.parse_task_name(name)
-        if parsed is None:
+        job_and_key = record.parse_task_name(name)
+        if job_and_key is None:
             return None
-        job = self.jobs.get(parsed[0])
-        return job.tasks.get(parsed[1]) if job else None
+        job = self.jobs.get(job_and_key[0])
+        return job.tasks.get(job_and_key[1]) if job else None
 
     def cancel(self, id: str) -> job_module.Job | None:
-        """Cancel a job; return it unless it had ended before."""
+        """Cancel a job; return it unless it is unknown or has ended."""
         self._cancelled.setdefault(id, _wall_ms())
         job = self.jobs.get(id)
         if job is None or job.phase.is_final:
@@ -87,14 +87,14 @@
         return job
 
     def forget(self, id: str) -> None:
-        """Drop a job that callers may no longer ask for."""
+        """Remove an expired job."""
         self.jobs.pop(id, None)
         self._cancelled.pop(id, None)
         self.changed.discard(id)
-        self._unsaved.discard(id)
+        self._uncommitted.discard(id)
 
     def list_ended(self, before_ms: float) -> list[str]:
-        """Return the jobs whose end was committed and came before then."""
+        """Return the jobs with a committed end before the given time."""
         return [
             job.id
             for job in self.jobs.values()
@@ -102,41 +102,41 @@
             and 0 < job.progress.ended_ms < before_ms
         ]
 
-    def list_lone_cancels(self, before_ms: float) -> list[str]:
-        """Return the cancels heard of before then whose job never came."""
+    def list_orphaned_cancels(self, before_ms: float) -> list[str]:
+        """Return the cancels received before the given time without a job."""
         return [
             id
-            for id, heard_ms in self._cancelled.items()
-            if heard_ms < before_ms and id not in self.jobs
+            for id, received_ms in self._cancelled.items()
+            if received_ms < before_ms and id not in self.jobs
         ]
 
     def note_checkpoint(self, task: job_module.Task, checkpoint: str) -> None:
-        """Note what a running task has saved."""
+        """Record the newest checkpoint of a running task."""
         if checkpoint == task.state.checkpoint:
             return
         task.state.checkpoint = checkpoint
-        task.job.unsaved_work += task.step.size.millicores
-        self._unsaved.add(task.job.id)
+        task.job.uncommitted_work += task.step.size.millicores
+        self._uncommitted.add(task.job.id)
 
-    def note_saved(self, job: job_module.Job) -> None:
-        """Note that a job is being committed as it stands."""
-        job.unsaved_work = 0
-        self._unsaved.discard(job.id)
+    def clear_uncommitted(self, job: job_module.Job) -> None:
+        """Reset a job's uncommitted work, since it is being committed."""
+        job.uncommitted_work = 0
+        self._uncommitted.discard(job.id)
 
-    def mark_unsaved(self, most: int) -> None:
-        """Have the jobs committed whose checkpoints are worth most.
+    def queue_uncommitted(self, max_jobs: int) -> None:
+        """Mark the jobs with the most uncommitted work as changed.
 
         Parameters
         ----------
-        most : int
-            How many jobs at the most.
+        max_jobs : int
+            Maximum number of jobs.
         """
-        worth = sorted(
-            self._unsaved,
-            key=lambda id: self.jobs[id].unsaved_work,
+        ranked = sorted(
+            self._uncommitted,
+            key=lambda id: self.jobs[id].uncommitted_work,
             reverse=True,
         )
-        self.changed.update(worth[:most])
+        self.changed.update(ranked[:max_jobs])
 
     def place(
         self,
@@ -146,19 +146,19 @@
         number: int | None = None,
         apart: bool = False,
     ) -> int:
-        """Claim a task's next run for an instance; return its number.
+        """Claim an instance for a task's next run; return the run's number.
 
         Parameters
         ----------
         task : persimmonsail.jobs.job.Task
             A waiting task.
         instance, boot : str
-            Where it is to run.
+            The instance's address, and the incarnation of its agent.
         number : int, optional
-            The run's number, higher than any before; the next one if it
-            is left out.
+            The run's number, higher than any before; the next one if
+            omitted.
         apart : bool, optional
-            Whether it is kept apart from other suspects.
+            Whether it is isolated from other suspects.
         """
         state = task.state
         state.phase = record.TaskPhase.PLACED
@@ -177,22 +177,22 @@
         run: int,
         end: End,
         checkpoint: str,
-        attempts: int,
+        max_attempts: int,
     ) -> bool:
-        """Take a run's end in; tell whether it changed anything.
+        """Apply a run's end; return whether it changed anything.
 
         Parameters
         ----------
         task : persimmonsail.jobs.job.Task
-            Whose run ended.
+            The task whose run ended.
         run : int
-            Which run; any but the last one claimed changes nothing.
+            The run's number; any but the last one claimed is ignored.
         end : End
             How it ended.
         checkpoint : str
-            What a next run resumes from; empty for none.
-        attempts : int
-            How often a task of this queue may fail.
+            The checkpoint that the next run resumes from; empty for none.
+        max_attempts : int
+            How many failures end a job of this queue.
         """
         state = task.state
         if state.phase is not record.TaskPhase.PLACED or state.run != run:
@@ -204,7 +204,7 @@
             self._mark_done([task])
             return True
         if end is End.DONE and not task.step.long_running:
-            self._mark_done(_list_stood_for(task))
+            self._mark_done(_list_gang_or_self(task))
             return True
         state.phase = record.TaskPhase.WAITING
         task.job.placed_count -= 1
@@ -214,16 +214,16 @@
         if end is End.FAILED:
             state.failures += 1
             task.avoid.add(state.instance)
-            spent = _count_failures(task) >= attempts
-            if spent and not task.step.long_running:
-                reason = f'{task.name} has failed {attempts} times'
+            exhausted = _count_failures(task) >= max_attempts
+            if exhausted and not task.step.long_running:
+                reason = f'{task.name} has failed {max_attempts} times'
                 self._fail(task.job, reason)
         return True
 
     def note_crashes(
         self, task: job_module.Task, crashes: record.Crashes
     ) -> None:
-        """Note what is held against a task now."""
+        """Update the crash evidence against a task."""
         if crashes != task.state.crashes:
             task.state.crashes = crashes
             self.changed.add(task.job.id)
@@ -233,52 +233,52 @@
             self.suspects.pop(task.name, None)
 
     def give_up(self, task: job_module.Task, reason: str) -> None:
-        """Fail the job of a task that will never be done."""
+        """Fail the job of a task that can't be completed."""
         self._fail(task.job, reason)
 
     def note_late_done(self, task: job_module.Task, run: int) -> bool:
-        """Take in that a run which was given up had done its work.
+        """Accept the late completion of a run that was abandoned.
 
-        A sidecar that is away for longer than a lease comes back with ends
-        that nobody has heard of. Thrown away, they cost callers the whole
-        work once more, and have it done twice where that does harm.
+        A sidecar that was unreachable for longer than a lease may report
+        ends not received before. Discarding them would cost callers the
+        complete work once more, and repeat it where that does harm.
 
-        A task that waits has no run left anywhere: each way back to
-        waiting is an end that was seen, a start that was barred, or a lease
-        that was waited out. So it is done. One that has a place may have
-        begun again: its last run is recalled, and the task is done when
-        that has ended, so that nothing of a complete job still runs.
+        A waiting task has no run left anywhere: it returned to waiting after
+        an observed end, a prevented start, or an expired lease. So it is
+        done. A placed task may have started again: its last run is stopped,
+        and the task is done when that has ended, so that nothing of a
+        complete job still runs.
 
         Parameters
         ----------
         task : persimmonsail.jobs.job.Task
-            Whose run has ended as done.
+            The task whose run ended as done.
         run : int
-            Which run; it is not the last one, or was given up.
+            The run's number; it is not the last one, or was abandoned.
 
         Returns
         -------
         bool
-            Whether the task is done by it, now or with its last run's end.
+            Whether this completes the task, now or when its last run ends.
         """
         state = task.state
-        # Runs are claimed in the store before they are ordered, so that no
-        # run of this job has a higher number than the record.
-        claimed = 0 < run <= state.run
-        over = task.job.phase.is_final or state.phase is record.TaskPhase.DONE
-        if over or not claimed or task.step.long_running:
+        # Runs are committed before they are ordered, so no run of this task
+        # has a higher number than its record.
+        was_claimed = 0 < run <= state.run
+        ended = task.job.phase.is_final or state.phase is record.TaskPhase.DONE
+        if ended or not was_claimed or task.step.long_running:
             return False
         self.changed.add(task.job.id)
-        members = _list_stood_for(task)
+        members = _list_gang_or_self(task)
         placed = [member for member in members if member.is_placed]
         for member in placed:
             member.state.earlier_done = True
         self.recalled += placed
-        self._mark_done([m for m in members if not m.is_placed])
+        self._mark_done([other for other in members if not other.is_placed])
         return True
 
     def _mark_done(self, tasks: t.Iterable[job_module.Task]) -> None:
-        """Count tasks as done, and their job as complete with the last."""
+        """Mark tasks as done, and their job as complete after the last."""
         for task in tasks:
             job = task.job
             if task.state.phase is record.TaskPhase.DONE:
@@ -292,7 +292,7 @@
                 self._finish(job, record.JobPhase.COMPLETE)
 
     def count_pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have had no task started."""
+        """Return how many jobs of a queue have not had a task placed."""
         return sum(
             job.queue == queue and job.phase is record.JobPhase.QUEUED
             for job in self.jobs.values()
@@ -318,11 +318,11 @@
     return round(time.time() * _MILLISECONDS)
 
 
-def _list_stood_for(task: job_module.Task) -> list[job_module.Task]:
-    """Return the tasks that a task's end speaks for: itself or its gang."""
+def _list_gang_or_self(task: job_module.Task) -> list[job_module.Task]:
+    """Return the tasks that share a task's end: itself, or its gang."""
     return task.job.list_gang(task) if task.step.gang else [task]
 
 
 def _count_failures(task: job_module.Task) -> int:
-    """Return how often a task, or the gang that it is of, has failed."""
-    return sum(member.state.failures for member in _list_stood_for(task))
+    """Return how often a task, or its complete gang, has failed."""
+    return sum(member.state.failures for member in _list_gang_or_self(task))
--- a/src/persimmonsail/jobs/commits.py
+++ b/src/persimmonsail/jobs/commits.py
@@ -1,4 +1,4 @@
-"""Writing jobs' progress, so that claims are of jobs not yet cancelled."""
+"""Commits of job progress that reject claims of cancelled jobs."""
 
 import time
 import typing as t
@@ -16,7 +16,7 @@
 
 
 class Commits:
-    """Commits jobs of the board, and tells what the store has of them.
+    """Commits jobs of the board, and records their committed phases.
 
     Parameters
     ----------
@@ -25,10 +25,10 @@
     ledger : persimmonsail.jobs.ledger.Ledger
         This term's writes.
     on_cancel : callable
-        Called with the id of a job that turns out to be cancelled, and the
-        text of its mark.
+        Called with the id of a job found to be cancelled, and the text of
+        its cancel marker.
     on_end : callable
-        Called with each job whose end is committed.
+        Called with each job whose final phase is committed.
     """
 
     def __init__(
@@ -46,46 +46,46 @@
     async def write(
         self, ids: t.Sequence[str], claimed: t.Collection[str]
     ) -> float:
-        """Commit jobs as they stand, in one transaction.
+        """Commit the current state of jobs in one transaction.
 
         Parameters
         ----------
         ids : sequence of str
-            Which jobs, of one group of ``split_rows``.
+            The jobs of one group of ``split_rows``.
         claimed : collection of str
-            Those of which a task was just placed.
+            Jobs with a newly placed task.
 
         Returns
         -------
         float
-            A moment, on ``clock``, at which none of those claimed was
-            cancelled, but for those that are shown as such now.
+            A time, on ``clock``, at which none of the claimed jobs was
+            cancelled, except for those now marked as cancelled.
         """
-        begun = clock.read()
+        started_at = clock.read()
         jobs = [self._board.jobs[id] for id in ids if id in self._board.jobs]
         while True:
             phases = [job.phase for job in jobs]
             try:
-                known_at = await self._write_once(jobs, claimed)
+                verified_at = await self._write_once(jobs, claimed)
             except exceptions.KeysPresent as error:
-                self._take_cancels(error.found)
+                self._apply_cancels(error.found)
                 continue
             break
         for job, phase in zip(jobs, phases, strict=True):
             if job.committed_phase is not phase:
-                self._note_phase(job, phase, clock.read() - begun)
-        return known_at
+                self._record_phase(job, phase, clock.read() - started_at)
+        return verified_at
 
     async def _write_once(
         self, jobs: t.Sequence[job_module.Job], claimed: t.Collection[str]
     ) -> float:
         for job in jobs:
-            self._board.note_saved(job)
+            self._board.clear_uncommitted(job)
         writes = [
             store_module.Write(record.PROGRESS + job.id, job.progress.encode())
             for job in jobs
         ]
-        # The watch that tells of cancels may be hung while writes pass.
+        # The watch for cancels may hang while writes succeed.
         absent = [
             record.CANCELS + job.id
             for job in jobs
@@ -93,15 +93,15 @@
         ]
         return await self._ledger.commit(writes, absent)
 
-    def _take_cancels(self, found: t.Mapping[str, str]) -> None:
-        """Take in the cancels that have kept a write from taking effect."""
-        for key, text in found.items():
+    def _apply_cancels(self, markers: t.Mapping[str, str]) -> None:
+        """Apply the cancels that a write was refused for."""
+        for key, text in markers.items():
             id = key.removeprefix(record.CANCELS)
             self._on_cancel(id, text)
-            # It is written at once, in the place of what was refused.
+            # The retry of the refused write commits it.
             self._board.changed.discard(id)
 
-    def _note_phase(
+    def _record_phase(
         self, job: job_module.Job, phase: record.JobPhase, seconds: float
     ) -> None:
         job.committed_phase = phase
@@ -120,18 +120,18 @@
 def split_rows(
     ids: t.Sequence[str], claimed: t.Collection[str]
 ) -> t.Iterator[list[str]]:
-    """Split jobs into groups that one transaction each can take.
+    """Split jobs into groups that fit into one transaction each.
 
-    A job with a claim takes a second row: the mark that has to be absent.
+    A claimed job takes a second row: its cancel marker must be absent.
     """
     group: list[str] = []
     rows = 0
     for id in ids:
-        needed = 2 if id in claimed else 1
-        if rows + needed > ledger_module.MAX_ROWS:
+        job_rows = 2 if id in claimed else 1
+        if rows + job_rows > ledger_module.MAX_ROWS:
             yield group
             group, rows = [], 0
         group.append(id)
-        rows += needed
+        rows += job_rows
     if group:
         yield group
--- a/src/persimmonsail/jobs/election.py
+++ b/src/persimmonsail/jobs/election.py
@@ -1,9 +1,10 @@
-"""Which entry leads: the one that holds a key of the store.
+"""Leader election: the entry that holds a key of the store leads.
 
-Being elected twice does no harm: only one process can move the head (see
-``ledger``), and leases of runs that a former leader may have allowed are
-waited out. So any entry may take over from a leader whose process it
-knows to have ended, without waiting for its lease.
+Two elected leaders at once do no harm: only one process can advance the
+head (see ``ledger``), and a new leader waits until leases that a former
+one may have granted to runs have expired. So any entry may take over from
+a leader whose process is known to have ended, without waiting for its
+lease to expire.
 """
 
 import contextlib
@@ -20,28 +21,27 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# A leader whose machine is gone is replaced after this time; the store
-# at its slowest (0.3 s an answer) still renews it thrice.
+# A leader whose machine failed is replaced after this time. At the slowest
+# store response time (0.3 s) the lease is still renewed three times.
 LEASE_SECONDS = 2.0
 RENEW_SECONDS = 0.5
 _WATCH_SECONDS = 1.0
 _RETRY_SECONDS = 0.2
-# Entries that see the same key end stand one after the other, each after a
-# time of its own within this; the others see the first one's key come and
-# don't stand. An election takes two calls of the store, 10 ms; of 15 entries
-# one or two stand within that, and the first after 20 ms in the mean (three
-# entries: 75 ms).
-_SPREAD_SECONDS = 0.3
-# A leader of 53 instances takes 0.56 cores at its peak. An entry with less
-# than this lets larger ones go first: as the leader it would fall behind
-# with its looks, and what serves would miss its targets.
-LEADER_CORES = 1.0
-# Larger ones stand within the spread and a call of the store.
-_SMALL_WAIT_SECONDS = 0.4
-
-# Between two calls of one kind at the least; a store that refuses at once is
-# not asked faster.
-_PAUSE_SECONDS = 0.2
+# Entries that observe the key's removal campaign after a random delay up to
+# this; the others observe the winner's key and don't campaign. An election
+# takes two store calls, 10 ms; of 15 entries one or two campaign within that,
+# and the first after 20 ms on average (three entries: 75 ms).
+_MAX_JITTER_SECONDS = 0.3
+# A leader of 53 instances uses 0.56 cores at peak. An entry with less than
+# this defers to larger ones: as the leader it would process reports late, and
+# serving tasks would miss their latency targets.
+MIN_LEADER_CORES = 1.0
+# Larger entries campaign within the jitter and one store call.
+_SMALL_DELAY_SECONDS = 0.4
+
+# Minimum between two calls of one kind, also if the store refuses calls
+# immediately.
+_MIN_PAUSE_SECONDS = 0.2
 
 IsAlive = t.Callable[[str], t.Awaitable[bool]]
 Lead = t.Callable[[ledger.Ledger], t.Awaitable[None]]
@@ -54,16 +54,16 @@
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where the leader's key is.
+        Holds the leader key.
     name : str
-        This entry.
+        This entry's name.
     is_alive : callable
-        Asks whether a process still listens at an address; false only
-        if that is certain.
+        Checks whether a process still listens at an address; false only
+        if certainly none does.
     lead : callable
         Leads until it is cancelled or deposed.
     cores : float, optional
-        What this entry's process may use; unknown if it is left out.
+        CPU limit of this entry's process; unknown if omitted.
     """
 
     def __init__(
@@ -74,75 +74,75 @@
         lead: Lead,
         cores: float | None = None,
     ) -> None:
-        # Whether larger entries go first.
-        self.is_small = cores is not None and cores < LEADER_CORES
-        self._wait_seconds = _SMALL_WAIT_SECONDS if self.is_small else 0.0
+        # Whether this entry defers to larger ones.
+        self.is_small = cores is not None and cores < MIN_LEADER_CORES
+        self._delay_seconds = _SMALL_DELAY_SECONDS if self.is_small else 0.0
         self._store = store
         self._name = name
         self._is_alive = is_alive
         self._lead = lead
         self._random = random.Random(name)
         self._id = ''
-        # Where other entries reach this one, and where the leader is.
+        # The addresses of this entry and of the leader.
         self.address = ''
         self.leader = ''
 
     async def run(self) -> None:
-        """Follow the leader's key, until cancelled."""
+        """Take part in elections until cancelled."""
         while True:
             try:
-                await self._take_part()
+                await self._follow_leader()
             except exceptions.StoreError as error:
                 logs.write_event('election-failed', error=error)
                 await anyio.sleep(_RETRY_SECONDS)
 
-    async def _take_part(self) -> None:
-        # The key may be older than the store's history; a watch from the
-        # page's own revision is answered by what changes from now on.
+    async def _follow_leader(self) -> None:
+        # The key may be older than the store's retained history; a watch from
+        # the page's revision returns the changes from now on.
         page = await self._store.scan(record.LEADER)
         item = _find_leader(page)
         if item is None:
-            await self._stand(page.revision, 0)
+            await self._campaign(page.revision, 0)
             return
-        known = _read_leader(item)
-        if known is None:
-            await self._stand(page.revision, item.revision)
+        current = _parse_leader(item)
+        if current is None:
+            await self._campaign(page.revision, item.revision)
             return
-        self._note_leader(known)
-        if known.address == self.address:
-            # Left by an earlier life of this very process.
-            await self._stand(page.revision, item.revision)
+        self._update_leader(current)
+        if current.address == self.address:
+            # Left by an earlier incarnation of this process.
+            await self._campaign(page.revision, item.revision)
             return
-        if not await self._is_alive(known.address):
-            logs.write_event('leader-dead', name=known.name)
-            await self._stand(page.revision, item.revision)
+        if not await self._is_alive(current.address):
+            logs.write_event('leader-dead', name=current.name)
+            await self._campaign(page.revision, item.revision)
             return
         with contextlib.suppress(exceptions.HistoryLost):
             await self._store.follow(
                 record.LEADER, page.revision, _WATCH_SECONDS
             )
 
-    def _note_leader(self, known: ledger.LeaderItem) -> None:
-        if self._id != known.id:
-            self._id = known.id
+    def _update_leader(self, current: ledger.LeaderItem) -> None:
+        if self._id != current.id:
+            self._id = current.id
             logs.write_event(
-                'leader-known', name=known.name, address=known.address
+                'leader-known', name=current.name, address=current.address
             )
-        self.leader = known.address
+        self.leader = current.address
 
-    async def _stand(self, seen: int, expected: int) -> None:
-        """Try to lead, unless another entry does so first.
+    async def _campaign(self, read_revision: int, key_revision: int) -> None:
+        """Run for leader, unless another entry is elected first.
 
         Parameters
         ----------
-        seen : int
+        read_revision : int
             The store's revision when the key was read.
-        expected : int
-            The key's own revision; 0 if there is none.
+        key_revision : int
+            The key's own revision; 0 if it is absent.
         """
-        if not await self._wait_turn(seen):
+        if not await self._wait_to_campaign(read_revision):
             return
-        term = await self._take_term(expected)
+        term = await self._acquire_term(key_revision)
         if term is None:
             return
         logs.write_event('leading', epoch=term.epoch)
@@ -152,46 +152,58 @@
         finally:
             self.leader = ''
 
-    async def _wait_turn(self, seen: int) -> bool:
-        """Tell whether the key is as it was after this entry's wait.
+    async def _wait_to_campaign(self, read_revision: int) -> bool:
+        """Wait for this entry's delay; return whether the key is unchanged.
 
-        Each election that is lost costs the store a lease and a refused
-        transaction, and the winner an answer that waits behind them.
+        Each lost election costs the store a lease and a refused transaction,
+        and delays the winner's calls, which queue behind them.
         """
-        wait = self._wait_seconds + self._random.random() * _SPREAD_SECONDS
-        until = anyio.current_time() + wait
+        delay = (
+            self._delay_seconds + self._random.random() * _MAX_JITTER_SECONDS
+        )
+        deadline = anyio.current_time() + delay
         try:
-            found = await self._store.follow(record.LEADER, seen, wait)
+            observed = await self._store.follow(
+                record.LEADER, read_revision, delay
+            )
         except exceptions.HistoryLost:
-            # Nothing tells of a change; the election itself does.
-            await anyio.sleep(max(until - anyio.current_time(), 0.0))
+            # Changes can't be observed; the election itself detects them.
+            await anyio.sleep(max(deadline - anyio.current_time(), 0.0))
             return True
-        return not found.changes
+        return not observed.changes
 
-    async def _serve_term(self, own: ledger.Ledger) -> None:
+    async def _serve_term(self, term_ledger: ledger.Ledger) -> None:
         try:
             async with anyio.create_task_group() as group:
-                # Apart: one after the other, a leader whose loop or store is
-                # slow renewed too late, and lost its term to one that knew
-                # less and had more to do.
-                group.start_soon(self._keep, self._renew, own)
-                group.start_soon(self._keep, self._confirm, own)
-                await self._lead(own)
+                # Run concurrently: in sequence, a leader with a slow event
+                # loop or store renewed too late, and lost its term to one
+                # that had less state and more to do.
+                group.start_soon(
+                    self._run_periodically, self._renew, term_ledger
+                )
+                group.start_soon(
+                    self._run_periodically, self._confirm, term_ledger
+                )
+                await self._lead(term_ledger)
                 group.cancel_scope.cancel()
         except* exceptions.Deposed as errors:
             logs.write_warning(
-                'deposed', epoch=own.term.epoch, error=_find_cause(errors)
+                'deposed',
+                epoch=term_ledger.term.epoch,
+                error=_find_cause(errors),
             )
         except* exceptions.StoreError as errors:
             logs.write_warning(
-                'term-ended', epoch=own.term.epoch, error=_find_cause(errors)
+                'term-ended',
+                epoch=term_ledger.term.epoch,
+                error=_find_cause(errors),
             )
         finally:
             with anyio.CancelScope(shield=True):
-                await self._resign(own.term)
+                await self._resign(term_ledger.term)
 
     async def _resign(self, term: ledger.Term) -> None:
-        # Others then take over at once instead of after the lease.
+        # Lets others take over immediately, not after the lease expires.
         try:
             with anyio.move_on_after(LEASE_SECONDS):
                 await self._store.revoke_lease(term.lease)
@@ -200,7 +212,7 @@
         else:
             logs.write_event('resigned', epoch=term.epoch)
 
-    async def _take_term(self, expected: int) -> ledger.Term | None:
+    async def _acquire_term(self, key_revision: int) -> ledger.Term | None:
         lease = await self._store.grant_lease(LEASE_SECONDS)
         id = uuid.uuid4().hex
         leader = ledger.LeaderItem(
@@ -212,14 +224,16 @@
             store_module.Write(record.HEAD, head.model_dump_json()),
         ]
         try:
-            epoch = await self._store.commit({record.LEADER: expected}, writes)
+            epoch = await self._store.commit(
+                {record.LEADER: key_revision}, writes
+            )
         except exceptions.TransactionConflict:
             logs.write_event('election-lost')
             return None
         except exceptions.CallRefused:
             raise
         except exceptions.StoreUnavailable as error:
-            # It may have taken effect all the same.
+            # The commit may still have taken effect.
             logs.write_event('election-unknown', error=error)
             item = await self._store.get(record.HEAD)
             if item is None or item.value != writes[1].value:
@@ -227,58 +241,63 @@
             epoch = item.revision
         return ledger.Term(id, epoch, lease)
 
-    async def _keep(self, step: _Step, own: ledger.Ledger) -> None:
-        """Do something for a term at even intervals, however long it takes."""
+    async def _run_periodically(
+        self, step: _Step, term_ledger: ledger.Ledger
+    ) -> None:
+        """Run a step for a term at regular intervals, whatever it takes."""
         while True:
             due = anyio.current_time() + RENEW_SECONDS
-            await step(own)
-            await anyio.sleep(max(due - anyio.current_time(), _PAUSE_SECONDS))
+            await step(term_ledger)
+            await anyio.sleep(
+                max(due - anyio.current_time(), _MIN_PAUSE_SECONDS)
+            )
 
-    async def _renew(self, own: ledger.Ledger) -> None:
+    async def _renew(self, term_ledger: ledger.Ledger) -> None:
         try:
-            await self._store.renew_lease(own.term.lease)
+            await self._store.renew_lease(term_ledger.term.lease)
         except exceptions.LeaseExpired:
-            await self._end_term(own)
+            await self._end_term(term_ledger)
         except exceptions.StoreUnavailable as error:
             logs.write_event('renew-failed', error=error)
 
-    async def _confirm(self, own: ledger.Ledger) -> None:
+    async def _confirm(self, term_ledger: ledger.Ledger) -> None:
         try:
-            await own.confirm()
+            await term_ledger.confirm()
         except exceptions.StoreUnavailable as error:
             logs.write_event('confirm-failed', error=error)
 
-    async def _end_term(self, own: ledger.Ledger) -> None:
-        """End a term whose key the store has taken away.
+    async def _end_term(self, term_ledger: ledger.Ledger) -> None:
+        """End a term whose lease has expired at the store.
 
-        The store may end leases while it is away. Whether another entry
-        leads by now is read first, so that the log tells which it was.
+        Leases may also expire while the store is unavailable. The head is
+        read first, so that the log shows whether another entry leads by now.
         """
-        await own.confirm()
-        raise exceptions.Deposed("the lease of the leader's key has ended")
+        await term_ledger.confirm()
+        raise exceptions.Deposed('the lease of the leader key has expired')
 
 
 def _find_cause(error: BaseException) -> BaseException:
-    """Return the first error itself, however many groups it is in."""
+    """Return the first error, unwrapped from all exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
 
 
 def _find_leader(page: store_module.Page) -> store_module.Item | None:
-    """Return the leader's key, which other writers' keys may begin with."""
+    """Return the leader key; other writers' keys may share its prefix."""
     for item in page.items:
         if item.key == record.LEADER:
             return item
     return None
 
 
-def _read_leader(item: store_module.Item) -> ledger.LeaderItem | None:
-    """Return who leads; nothing if another writer left something else.
+def _parse_leader(item: store_module.Item) -> ledger.LeaderItem | None:
+    """Parse the leader key; return None if it is unreadable.
 
-    Taken for a store that is away, it kept every entry from standing, and
-    nothing started any more. No leader is known to be there; if there is
-    one all the same, its head tells it of the next term.
+    Another writer may have replaced it. Handled like an unavailable store,
+    an unreadable key kept every entry from campaigning, and no task started
+    any more. If a leader exists all the same, the head shows it the next
+    term.
     """
     try:
         return ledger.LeaderItem.model_validate_json(item.value)
--- a/src/persimmonsail/jobs/inbox.py
+++ b/src/persimmonsail/jobs/inbox.py
@@ -1,4 +1,4 @@
-"""Reading and following what entries and sidecars write to the store."""
+"""Follows the keys that entries and sidecars write to the store."""
 
 import typing as t
 
@@ -10,41 +10,42 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# A watch may go silent for good; what entries have accepted meanwhile is
-# not seen before it is asked anew, a second after this time at the latest.
+# A watch may stop responding for good; jobs accepted meanwhile are not
+# observed before the next watch, a second after this time at the latest.
 _WATCH_SECONDS = 1.5
 _RETRY_SECONDS = 0.25
-# A watch that has told nothing for so long hangs. What runs of a cancelled job
-# is to be stopped within 3 s, the orders' way and the agent's time included.
+# A watch without a response for this long is considered hung. Runs of a
+# cancelled job must be stopped within 3 s, including the time for the order's
+# delivery and the agent.
 _HUNG_SECONDS = 1.9
-# The marks of cancels are then read so often, until it tells something.
+# Interval for reading the cancel markers until the watch responds again.
 _CHECK_SECONDS = 0.5
 
-Take = t.Callable[[store_module.Change], None]
+OnChange = t.Callable[[store_module.Change], None]
 
 
 class Inbox:
-    """Hands on what entries and sidecars write.
+    """Reports what entries and sidecars write.
 
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where the inbox is.
-    take : callable
-        Called with each change; with one again that it knows, where the
-        store has lost its history or the watch has hung.
+        Holds the inbox.
+    on_change : callable
+        Called with each change; repeatedly with the same one if the store
+        has lost its history or the watch has hung.
     """
 
     def __init__(
-        self, store: store_module.TransactionalStore, take: Take
+        self, store: store_module.TransactionalStore, on_change: OnChange
     ) -> None:
         self._store = store
-        self._take = take
-        self._heard_at = clock.read()
+        self._on_change = on_change
+        self._last_response_at = clock.read()
 
     async def run(self, revision: int) -> None:
         """Follow the inbox from a revision of the store, until cancelled."""
-        self._heard_at = clock.read()
+        self._last_response_at = clock.read()
         async with anyio.create_task_group() as group:
             group.start_soon(self._check_cancels)
             await self._follow(revision)
@@ -52,47 +53,48 @@
     async def _follow(self, revision: int) -> None:
         while True:
             try:
-                found = await self._store.follow(
+                response = await self._store.follow(
                     record.INBOX, revision, _WATCH_SECONDS
                 )
             except exceptions.HistoryLost:
                 page = await self._scan(record.INBOX)
-                self._heard_at = clock.read()
+                self._last_response_at = clock.read()
                 revision = page.revision
                 continue
             except exceptions.StoreUnavailable as error:
                 logs.write_event('inbox-unheard', error=error)
                 await anyio.sleep(_RETRY_SECONDS)
                 continue
-            self._heard_at = clock.read()
-            revision = max(revision, found.revision)
-            for change in found.changes:
-                self._take(change)
+            self._last_response_at = clock.read()
+            revision = max(revision, response.revision)
+            for change in response.changes:
+                self._on_change(change)
 
     async def _check_cancels(self) -> None:
-        """Read the marks of cancels while the watch hangs.
+        """Read the cancel markers while the watch hangs.
 
-        They are few; all of the inbox would take seconds over a thin link.
+        There are few of them; reading the complete inbox takes seconds over
+        a slow link.
         """
         while True:
-            unheard = clock.read() - self._heard_at
-            if unheard < _HUNG_SECONDS:
-                await anyio.sleep(_HUNG_SECONDS - unheard)
+            silent_seconds = clock.read() - self._last_response_at
+            if silent_seconds < _HUNG_SECONDS:
+                await anyio.sleep(_HUNG_SECONDS - silent_seconds)
                 continue
             await self._scan(record.CANCELS)
             await anyio.sleep(_CHECK_SECONDS)
 
     async def _scan(self, prefix: str) -> store_module.Page:
-        """Hand on all that is there."""
+        """Report all items below a prefix as changes."""
         page = await scan(self._store, prefix)
         logs.write_event(
             'inbox-scanned',
             prefix=prefix,
             revision=page.revision,
-            unheard_seconds=clock.read() - self._heard_at,
+            unheard_seconds=clock.read() - self._last_response_at,
         )
         for item in page.items:
-            self._take(
+            self._on_change(
                 store_module.Change(item.key, item.value, item.revision)
             )
         return page
@@ -101,11 +103,11 @@
 async def scan(
     store: store_module.TransactionalStore, prefix: str
 ) -> store_module.Page:
-    """Read all below a prefix, however often the store has to be asked.
+    """Read all items below a prefix, retrying while the store is unavailable.
 
-    A term that ended with the first call without an answer cost all that
-    its leader had read, and the next one met the same store. Whether it
-    still leads is found out apart.
+    Ending the term at the first unanswered call discarded all that its
+    leader had read, and the next leader met the same store. Whether the
+    leader still leads is checked separately.
     """
     while True:
         try:
--- a/src/persimmonsail/jobs/job.py
+++ b/src/persimmonsail/jobs/job.py
@@ -1,4 +1,4 @@
-"""An accepted job and its tasks, as the leader knows them."""
+"""The leader's state of an accepted job and its tasks."""
 
 import dataclasses
 import functools
@@ -10,27 +10,27 @@
 
 @dataclasses.dataclass
 class Task:
-    """One task of a job, with what is known beside its record.
+    """One task of a job: its stored record, and state that is not stored.
 
     Attributes
     ----------
     job : Job
         The job it belongs to.
     key : persimmonsail.jobs.record.TaskKey
-        Which of the job's tasks.
+        Its key within the job.
     step : persimmonsail.jobs.specification.Step
-        What it needs.
+        Its requirements.
     state : persimmonsail.jobs.record.TaskRecord
-        What is committed with the job.
+        The part that is committed with the job.
     avoid : set of str
         Instances where it failed; others are tried first.
     not_before : float
-        Seconds of the leader's clock before which it is not placed.
+        Earliest placement time, in seconds of the leader's clock.
     apart_since : float
-        Since when it waits for an instance where it is apart from other
-        suspects; 0 if it doesn't.
+        Since when it waits for an instance where it is isolated from other
+        suspects; 0 if it doesn't wait.
     refusals : int
-        How many of its starts were refused in a row.
+        Number of consecutive refused starts.
     """
 
     job: 'Job'
@@ -44,22 +44,22 @@
 
     @property
     def name(self) -> str:
-        """The task's full name, unique over all jobs."""
+        """The task's full name, unique across all jobs."""
         return f'{self.job.id}.{self.key}'
 
     @property
     def step_name(self) -> str:
-        """Names job, occurrence and step."""
+        """The step's full name: job, occurrence and step."""
         return self.name.rpartition('.')[0]
 
     @property
     def is_placed(self) -> bool:
-        """Whether its last run is claimed for an instance."""
+        """Whether an instance is claimed for its last run."""
         return self.state.phase is record.TaskPhase.PLACED
 
     @property
     def is_suspect(self) -> bool:
-        """Whether crashes of workers' agents are held against it."""
+        """Whether it is suspected of crashing workers' agents."""
         crashes = self.state.crashes
         return crashes.count > 0 or (
             crashes.excused > 0 and not crashes.beside
@@ -67,12 +67,12 @@
 
     @property
     def due_ms(self) -> int:
-        """When it may begin, in milliseconds since the epoch."""
+        """Earliest start time, in milliseconds since the epoch."""
         return self.job.specification.find_due_ms(self.key.occurrence)
 
     @property
     def since_ms(self) -> int:
-        """From when on its job's objective counts for it."""
+        """When its job's objective starts to apply to it."""
         return max(self.job.accepted_ms, self.due_ms)
 
 
@@ -92,55 +92,55 @@
         self.accepted_ms = accepted_ms
         self.specification = specification
         self.progress = progress or record.Progress()
-        # The phase that the store has; callers are shown no other.
+        # The committed phase; callers see no other.
         self.committed_phase = self.progress.phase
         self.tasks: dict[record.TaskKey, Task] = {}
         for key in self._list_keys():
             state = self.progress.tasks.setdefault(key, record.TaskRecord())
             step = specification.steps[key.step]
             self.tasks[key] = Task(self, key, step, state)
-        self._left = self._count_left()
-        # The tasks that may be placed now. Kept up to date, since a full
-        # look at every task took the leader a tenth of its processor.
+        self._remaining = self._count_remaining()
+        # The tasks that can be placed now. Updated incrementally, since
+        # scanning all tasks took a tenth of the leader's CPU.
         self.waiting: dict[record.TaskKey, Task] = {}
-        # How many tasks have a place, and since when none has had one, in
-        # seconds of the leader's clock; 0 if that is not known.
+        # How many tasks are placed, and since when none has been, in seconds
+        # of the leader's clock; 0 if unknown.
         self.placed_count = len(self.list_placed())
         self.idle_since = 0.0
-        # How much has been saved by tasks since the last commit: the
-        # millicores of each new checkpoint, which come at even intervals.
-        self.unsaved_work = 0
+        # The work in checkpoints since the last commit: the sum of the tasks'
+        # millicores over all new checkpoints, which come at even intervals.
+        self.uncommitted_work = 0
         self._open_steps()
 
     @property
     def phase(self) -> record.JobPhase:
-        """How far the job is; may not be committed yet."""
+        """The current phase; may not be committed yet."""
         return self.progress.phase
 
     @property
     def committed_state(self) -> record.JobState:
-        """What the store has, and callers may be told."""
+        """The committed state, as reported to callers."""
         failed = self.committed_phase is record.JobPhase.FAILED
         reason = self.progress.reason if failed else ''
         return record.JobState(self.committed_phase, reason)
 
     @functools.cached_property
     def tails_ms(self) -> tuple[int, ...]:
-        """For each step, the estimated time from its start to the end."""
+        """For each step, the estimated time from its start to the job end."""
         steps = self.specification.steps
         tails = [step.estimate_ms for step in steps]
         for index in reversed(range(len(steps))):
-            for earlier in steps[index].after:
-                through = steps[earlier].estimate_ms + tails[index]
-                tails[earlier] = max(tails[earlier], through)
+            for predecessor in steps[index].after:
+                path_ms = steps[predecessor].estimate_ms + tails[index]
+                tails[predecessor] = max(tails[predecessor], path_ms)
         return tuple(tails)
 
     def list_placed(self) -> list[Task]:
-        """Return the tasks that have a place."""
+        """Return the placed tasks."""
         return [task for task in self.tasks.values() if task.is_placed]
 
     def list_gang(self, task: Task) -> list[Task]:
-        """Return all tasks that only work together with this one."""
+        """Return all members of a task's gang, including itself."""
         return [
             member
             for key, member in self.tasks.items()
@@ -148,42 +148,42 @@
         ]
 
     def note_placed(self, task: Task) -> None:
-        """Take a task out of those that wait."""
+        """Remove a task from the waiting ones."""
         self.waiting.pop(task.key, None)
         self.placed_count += 1
 
     def note_waiting(self, task: Task) -> None:
-        """Put a task back to those that wait."""
+        """Return a task to the waiting ones."""
         if not self.phase.is_final:
             self.waiting[task.key] = task
 
     def note_done(self, task: Task) -> None:
-        """Count a task as done, and open the steps that it held up."""
+        """Count a task as done, and open steps that depended on it."""
         step = task.key.of_step
-        self._left[step] -= 1
-        if not self._left[step]:
+        self._remaining[step] -= 1
+        if not self._remaining[step]:
             self._open_steps()
 
     @property
     def left_core_ms(self) -> float:
-        """The estimated processor time of all tasks that aren't done."""
+        """The estimated CPU time of all tasks that aren't done."""
         steps = self.specification.steps
         return sum(
             count * steps[step].work_core_ms
-            for (_, step), count in self._left.items()
+            for (_, step), count in self._remaining.items()
         )
 
     @property
     def is_done(self) -> bool:
-        """Whether no task is left."""
-        return not any(self._left.values())
+        """Whether all tasks are done."""
+        return not any(self._remaining.values())
 
-    def _count_left(self) -> dict[tuple[int, int], int]:
-        left: dict[tuple[int, int], int] = {}
+    def _count_remaining(self) -> dict[tuple[int, int], int]:
+        remaining: dict[tuple[int, int], int] = {}
         for key, task in self.tasks.items():
             done = task.state.phase is record.TaskPhase.DONE
-            left[key.of_step] = left.get(key.of_step, 0) + (not done)
-        return left
+            remaining[key.of_step] = remaining.get(key.of_step, 0) + (not done)
+        return remaining
 
     def _open_steps(self) -> None:
         if self.phase.is_final:
@@ -191,8 +191,10 @@
         for key, task in self.tasks.items():
             if task.state.phase is not record.TaskPhase.WAITING:
                 continue
-            earlier = self.specification.steps[key.step].after
-            if not any(self._left[key.occurrence, e] for e in earlier):
+            after = self.specification.steps[key.step].after
+            if not any(
+                self._remaining[key.occurrence, step] for step in after
+            ):
                 self.waiting[key] = task
 
     def _list_keys(self) -> t.Iterator[record.TaskKey]:
--- a/src/persimmonsail/jobs/leader.py
+++ b/src/persimmonsail/jobs/leader.py
@@ -1,9 +1,9 @@
-"""The leader: sees all jobs and instances, and places the work.
+"""The leader: tracks all jobs and instances, and places tasks.
 
-One entry leads at a time. It keeps nothing that can't be read again:
-jobs come from the inbox, their progress from the store, and what runs
-from the sidecars' reports. Each round places waiting tasks, commits what
-changed, and only then sends what follows from it.
+One entry leads at a time. All of its state can be read again: jobs from
+the inbox, their progress from the store, and the running tasks from the
+sidecars' reports. Each round places waiting tasks, commits the changed
+jobs, and only then sends the resulting orders.
 """
 
 import time
@@ -35,12 +35,13 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# A leader that last knew so long ago that it leads may have a successor,
-# and know nothing of the newest jobs. It makes sure twice a second.
-_CURRENT_SECONDS = 1.2
+# A leader whose last confirmation is older than this may have been replaced,
+# and lack the newest jobs. Its term is confirmed twice a second.
+_MAX_CONFIRMATION_AGE_SECONDS = 1.2
 _MILLISECONDS = 1000
-# A loss of power of everything costs the work since the last commit of a
-# job's checkpoints. One write in this time takes the jobs with most of it.
+# A power loss of all machines costs the work since a job's checkpoints were
+# last committed. Each interval commits the jobs with the most such work, in
+# one write.
 _CHECKPOINT_SECONDS = 1.0
 
 
@@ -50,17 +51,17 @@
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where jobs and progress are kept.
+        Holds jobs and progress.
     ledger : persimmonsail.jobs.ledger.Ledger
         This term's writes.
     view : persimmonsail.jobs.queues.View
-        The queues in force.
+        The current queue configuration.
     lease_seconds : float
-        How long runs go on after the leader's last word.
+        How long runs continue after the leader's last message.
     retention_seconds : float
-        How long callers may ask for an ended job.
+        How long an ended job can be queried.
     advisor : persimmonsail.jobs.advisor.Advisor, optional
-        Says where steps of queues with an advisor may run.
+        Decides where steps of queues with an advisor may run.
     """
 
     def __init__(
@@ -81,37 +82,37 @@
         self.loaded = False
         self._wake = anyio.Event()
         self._model = interference.Model()
-        self._places = places.Places()
+        self._snapshot = places.Places()
         self._approvals = advice.Approvals()
         self._reader = reports.Reader(
             self.board,
             quarantine.Tracker(),
             self._model,
-            self._get_attempts,
+            self._get_max_attempts,
             self._approvals,
             lambda: self._fleet.instances.values(),
         )
         self._fleet = fleet_module.Fleet(
-            ledger, lease_seconds, self._reader, self._note_reaction
+            ledger, lease_seconds, self._reader, self._handle_reaction
         )
         self._commits = commits.Commits(
-            self.board, ledger, self.note_cancel, self._forget
+            self.board, ledger, self.note_cancel, self._forget_job
         )
 
     async def run(self) -> None:
-        """Load everything, then place work until cancelled or deposed."""
+        """Load all state, then place tasks until cancelled or deposed."""
         async with anyio.create_task_group() as group:
             self._fleet.open(group)
             revision = await self._load()
-            followed = inbox.Inbox(self._store, self._take_change)
-            group.start_soon(followed.run, revision)
+            inbox_follower = inbox.Inbox(self._store, self._apply_change)
+            group.start_soon(inbox_follower.run, revision)
             group.start_soon(
-                sweep.keep_sweeping,
+                sweep.run_sweep_loop,
                 self._store,
                 self.board,
                 self._retention_seconds,
             )
-            group.start_soon(self._save_checkpoints)
+            group.start_soon(self._run_checkpoint_loop)
             group.start_soon(memory.keep_saving, self._store, self._model)
             group.start_soon(
                 capacities.keep_saving, self._store, self._fleet.instances
@@ -123,30 +124,30 @@
                     self._approvals,
                     lambda: self._wake.set(),
                 )
-            await self._place_rounds()
+            await self._run_rounds()
 
     async def save_knowledge(self) -> None:
-        """Hand on what was learnt, before this leader stops."""
+        """Persist the learned state before this leader stops."""
         if self.loaded:
             await memory.save_last(self._store, self._model)
 
     def count_pending(self, queue: str) -> int | None:
         """Return how many jobs of a queue wait for their first task.
 
-        Nothing is returned while this process can't be sure that it leads:
-        one that is cut off from the store would go on telling that no job
-        waits, whatever is accepted meanwhile.
+        Returns None unless this process confirmed recently that it leads:
+        one that is partitioned from the store would keep reporting no
+        waiting jobs, whatever is accepted meanwhile.
         """
         age = clock.read() - self._ledger.confirmed_at
-        if not self.loaded or age > _CURRENT_SECONDS:
+        if not self.loaded or age > _MAX_CONFIRMATION_AGE_SECONDS:
             return None
         return self.board.count_pending(queue)
 
     def note_job(self, id: str, text: str) -> None:
-        """Take an accepted job in; a known one changes nothing."""
+        """Add an accepted job; does nothing if it was added before."""
         if id in self.board.jobs:
             return
-        job = self._read_job(id, text, None)
+        job = self._parse_job(id, text, None)
         if job is not None and self.board.add(job):
             logs.write_event(
                 'job-seen',
@@ -158,49 +159,51 @@
             self._wake.set()
 
     def note_cancel(self, id: str, text: str) -> None:
-        """Cancel a job, and stop what runs of it.
+        """Cancel a job, and stop its runs.
 
         Parameters
         ----------
         id : str
-            Which job.
+            The job's id.
         text : str
-            The mark of its cancel, as the store has it.
+            The stored cancel marker.
         """
         job = self.board.cancel(id)
         if job is None:
             return
         placed = job.list_placed()
-        mark = _read_cancel(id, text)
+        marker = _parse_cancel(id, text)
         logs.write_event(
             'job-cancelled',
             job=id,
             running=len(placed),
-            age_ms=_wall_ms() - mark.cancelled_ms if mark.cancelled_ms else -1,
+            age_ms=_wall_ms() - marker.cancelled_ms
+            if marker.cancelled_ms
+            else -1,
         )
         for task in placed:
             self._fleet.stop_task(task)
         self._wake.set()
 
-    def _note_reaction(self, reaction: reports.Reaction) -> None:
+    def _handle_reaction(self, reaction: reports.Reaction) -> None:
         if reaction.replan or self.board.changed:
             self._wake.set()
 
-    def _get_attempts(self, queue: str) -> int:
-        found = self._view.seen.get(queue)
-        # Only jobs of an older version have no terms of their own.
-        return found.max_attempts if found else 1
+    def _get_max_attempts(self, queue: str) -> int:
+        terms = self._view.seen.get(queue)
+        # Only jobs stored by an older version lack terms of their own.
+        return terms.max_attempts if terms else 1
 
     async def _load(self) -> int:
         page = await inbox.scan(self._store, record.INBOX)
         progress = await inbox.scan(self._store, record.PROGRESS)
-        states = {
+        progress_texts = {
             item.key.removeprefix(record.PROGRESS): item.value
             for item in progress.items
         }
         for item in page.items:
-            self._take_inbox(item.key, item.value, states)
-        self._count_claims()
+            self._apply_entry(item.key, item.value, progress_texts)
+        self._restore_claims()
         await memory.load(self._store, self._model)
         self.loaded = True
         logs.write_event(
@@ -212,22 +215,22 @@
         self._wake.set()
         return page.revision
 
-    def _take_inbox(
-        self, key: str, value: str, states: t.Mapping[str, str]
+    def _apply_entry(
+        self, key: str, value: str, progress_texts: t.Mapping[str, str]
     ) -> None:
         if key.startswith(record.JOBS):
             id = key.removeprefix(record.JOBS)
             if id in self.board.jobs:
                 return
-            job = self._read_job(id, value, states.get(id))
+            job = self._parse_job(id, value, progress_texts.get(id))
             if job is not None:
                 self.board.add(job)
         elif key.startswith(record.CANCELS):
             self.note_cancel(key.removeprefix(record.CANCELS), value)
         elif key.startswith(record.INSTANCES):
-            self._note_instance(key.removeprefix(record.INSTANCES), value)
+            self._register_instance(key.removeprefix(record.INSTANCES), value)
 
-    def _read_job(
+    def _parse_job(
         self, id: str, text: str, progress: str | None
     ) -> job_module.Job | None:
         try:
@@ -240,59 +243,59 @@
                 record.decode_progress(progress) if progress else None,
             )
         except ValueError as error:
-            # Written by another version; whoever is on call has to look.
+            # Written by another version; needs attention by the operator.
             logs.write_error('job-unreadable', job=id, error=error)
             return None
-        # Without its terms a job would end with its first failure, or wait
-        # for ever, until the configuration is read and where it has lost
-        # the queue since.
+        # Without its terms a job would fail at its first failed run, or wait
+        # forever, until the configuration is read, and also if the queue
+        # has been removed from it since.
         if stored.terms is not None:
             self._view.remember(stored.terms)
         return job
 
-    def _count_claims(self) -> None:
-        """Count what earlier leaders have placed.
+    def _restore_claims(self) -> None:
+        """Restore the runs that earlier leaders placed.
 
-        A former leader may have allowed leases until it knew that it was
-        replaced, and the sidecars' leases run on after that.
+        A former leader may have granted leases until it noticed that it was
+        replaced, and these leases remain valid after that.
         """
         for job in self.board.jobs.values():
             for task in job.list_placed():
                 self._fleet.count_claim(task)
 
-    def _note_instance(self, address: str, text: str) -> None:
+    def _register_instance(self, address: str, text: str) -> None:
         try:
-            # An entry of another writer may have any key; a link to what is
-            # no address would end with an error, and this term with it.
+            # Other writers may have stored an entry under any key; a link to
+            # an invalid address would raise an error and end this term.
             addresses.check(address)
-            found = record.StoredInstance.model_validate_json(text)
+            stored = record.StoredInstance.model_validate_json(text)
         except ValueError as error:
             logs.write_warning(
                 'instance-unreadable', instance=address, error=error
             )
             return
         instance = self._fleet.get(address)
-        instance.name = found.name
-        instance.zone = found.zone
+        instance.name = stored.name
+        instance.zone = stored.zone
 
-    def _take_change(self, change: store_module.Change) -> None:
+    def _apply_change(self, change: store_module.Change) -> None:
         key = change.key
         if change.value is None:
             return
         if key.startswith(record.JOBS):
             self.note_job(key.removeprefix(record.JOBS), change.value)
         else:
-            self._take_inbox(key, change.value, {})
+            self._apply_entry(key, change.value, {})
 
-    async def _place_rounds(self) -> None:
-        begun = clock.read()
+    async def _run_rounds(self) -> None:
+        started_at = clock.read()
         while True:
             self._wake = anyio.Event()
             self._fleet.give_up_unreachable()
-            before, begun = begun, clock.read()
+            previous_start, started_at = started_at, clock.read()
             claims = scheduling.plan(
                 self.board,
-                self._places,
+                self._snapshot,
                 self._fleet.instances.values(),
                 self._view.seen,
                 self._reader.slowdowns,
@@ -300,20 +303,22 @@
                 self._approvals,
                 clock.read(),
                 time.time(),
-                begun - before,
+                started_at - previous_start,
             )
-            took = clock.read() - begun
-            full = len(claims) >= scheduling.MOST_CLAIMS
+            planning_seconds = clock.read() - started_at
+            is_full = len(claims) >= scheduling.MOST_CLAIMS
             await self._commit(claims)
             self._fleet.acknowledge()
-            if not full:
+            if not is_full:
                 with anyio.move_on_after(scheduling.ROUND_SECONDS):
                     await self._wake.wait()
-            await anyio.sleep(scheduling.choose_pause(took, full))
+            await anyio.sleep(
+                scheduling.choose_pause(planning_seconds, is_full)
+            )
 
     async def _commit(self, claims: list[placer.Claim]) -> None:
-        """Commit all changed jobs, then send what that allows."""
-        # Ends that come while the store works are in no write yet.
+        """Commit all changed jobs, then order the starts of the claims."""
+        # Ends that arrive while the store commits are in no write yet.
         processed = [
             (instance, instance.boot, instance.processed)
             for instance in self._fleet.instances.values()
@@ -322,39 +327,40 @@
         self.board.changed.clear()
         claimed = {claim.task.job.id for claim in claims}
         for ids in commits.split_rows(changed, claimed):
-            known_at = await self._commits.write(ids, claimed)
-            chosen = set(ids)
+            verified_at = await self._commits.write(ids, claimed)
+            group_ids = set(ids)
             for claim in claims:
-                if claim.task.job.id in chosen:
-                    self._fleet.start(claim, known_at)
+                if claim.task.job.id in group_ids:
+                    self._fleet.start(claim, verified_at)
         for instance, boot, number in processed:
             if instance.boot == boot:
                 instance.committed_end = number
 
-    def _forget(self, job: job_module.Job) -> None:
-        """Drop what was learnt of an ended job's steps."""
+    def _forget_job(self, job: job_module.Job) -> None:
+        """Drop the learned state of an ended job's steps."""
         self._approvals.forget(job.id)
         for task in job.tasks.values():
-            # One task of each step that has gauges of that kind at all.
+            # Once per step; only those with a latency target have such
+            # gauges.
             if task.key.index == 0 and task.step.latency_target_ms:
                 self._model.forget(task.step_name)
 
-    async def _save_checkpoints(self) -> None:
-        """Commit what running tasks have saved, from time to time.
+    async def _run_checkpoint_loop(self) -> None:
+        """Commit the checkpoints of running tasks at regular intervals.
 
-        Sidecars report checkpoints to whoever leads, so only a loss of
-        all machines needs this: the agents forget, and a next leader has
-        what the store has. Without it each running task began anew from
-        where it was placed, 6.7 s of its work in the mean.
+        Sidecars report checkpoints to any new leader, so this matters only
+        if all machines fail: the agents lose their state, and the next
+        leader has only the store. Without it each running task restarted
+        from where it was placed, losing 6.7 s of work on average.
         """
         while True:
             await anyio.sleep(_CHECKPOINT_SECONDS)
-            self.board.mark_unsaved(ledger_module.MAX_ROWS)
+            self.board.queue_uncommitted(ledger_module.MAX_ROWS)
             self._wake.set()
 
 
-def _read_cancel(id: str, text: str) -> record.StoredCancel:
-    """Return what a mark says; its being there is what counts."""
+def _parse_cancel(id: str, text: str) -> record.StoredCancel:
+    """Parse a cancel marker; an unreadable one cancels the job as well."""
     try:
         return record.StoredCancel.model_validate_json(text)
     except ValueError as error:
--- a/src/persimmonsail/jobs/leaderservice.py
+++ b/src/persimmonsail/jobs/leaderservice.py
@@ -1,4 +1,4 @@
-"""What the leader's entry does for the other entries."""
+"""The gRPC service of the leading entry for the other entries."""
 
 import typing as t
 
@@ -12,42 +12,42 @@
 
 
 class LeaderService(fleet_grpc.LeaderBase):
-    """Answers other entries' questions to the leader."""
+    """Handles other entries' calls to the leader."""
 
     def __init__(
         self,
         intake: intake_module.Intake,
-        get_own: t.Callable[[], 'leader_module.Leader | None'],
+        get_leader: t.Callable[[], 'leader_module.Leader | None'],
     ) -> None:
         self._intake = intake
-        self._get_own = get_own
+        self._get_leader = get_leader
 
     async def Submit(self, stream: t.Any) -> None:
         """Store a job for an entry that can't reach the store."""
-        query = await stream.recv_message()
-        until = clock.read() + query.wait_seconds
+        request = await stream.recv_message()
+        deadline = clock.read() + request.wait_seconds
         outcome = await self._intake.store_job(
-            query.job, query.submission, until
+            request.job, request.submission, deadline
         )
         reply = fleet_pb2.OutcomeReply(outcome=outcome.value)
         await stream.send_message(reply)
 
     async def Cancel(self, stream: t.Any) -> None:
         """Cancel a job for an entry that can't reach the store."""
-        query = await stream.recv_message()
-        until = clock.read() + query.wait_seconds
-        outcome = await self._intake.store_cancel(query.job, until)
+        request = await stream.recv_message()
+        deadline = clock.read() + request.wait_seconds
+        outcome = await self._intake.store_cancel(request.job, deadline)
         reply = fleet_pb2.OutcomeReply(outcome=outcome.value)
         await stream.send_message(reply)
 
     async def FindJob(self, stream: t.Any) -> None:
         """Return a job's committed phase."""
-        query = await stream.recv_message()
+        request = await stream.recv_message()
         reply = fleet_pb2.JobReply()
-        own = self._get_own()
-        if own is not None:
-            reply.leads = own.loaded
-            job = own.board.jobs.get(query.job)
+        leader = self._get_leader()
+        if leader is not None:
+            reply.leads = leader.loaded
+            job = leader.board.jobs.get(request.job)
             if job is not None:
                 reply.known = True
                 state = job.committed_state
@@ -57,10 +57,10 @@
 
     async def CountPending(self, stream: t.Any) -> None:
         """Return how many jobs of a queue wait for their first task."""
-        query = await stream.recv_message()
+        request = await stream.recv_message()
         reply = fleet_pb2.QueueReply()
-        own = self._get_own()
-        pending = own.count_pending(query.queue) if own else None
+        leader = self._get_leader()
+        pending = leader.count_pending(request.queue) if leader else None
         if pending is not None:
             reply.leads = True
             reply.pending = pending
--- a/src/persimmonsail/jobs/ledger.py
+++ b/src/persimmonsail/jobs/ledger.py
@@ -1,9 +1,9 @@
 """The leader's writes to the store, fenced by one key.
 
-Every write names the revision of the head that the write before it left,
-and moves the head on. A leader that was replaced finds the head moved by
-its successor and can write nothing more; a write that the store carries
-out seconds late finds it moved by this leader's next one.
+Every write is conditional on the head's revision after the previous write,
+and advances the head. A replaced leader finds the head advanced by its
+successor and can't write any more; a write that the store applies seconds
+late finds it advanced by this leader's next write.
 """
 
 import dataclasses
@@ -18,22 +18,22 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-# Of writes and of keys that have to be absent, together. The store takes 32
-# rows in one transaction; the head is two of them.
+# The total of writes and of keys required to be absent. The store accepts 32
+# rows in one transaction; the head takes two of them.
 MAX_ROWS = 28
 _RETRY_SECONDS = 0.05
-_LONGEST_RETRY_SECONDS = 0.4
+_MAX_RETRY_SECONDS = 0.4
 
 
 class Head(pydantic.BaseModel):
-    """Who may write, and how often it has."""
+    """The leader that may write, and how many writes it has made."""
 
     leader: str
     writes: int
 
 
 class LeaderItem(pydantic.BaseModel):
-    """Who leads, and where it is reached by other entries."""
+    """The leading entry, and its address for other entries."""
 
     id: str
     name: str
@@ -42,16 +42,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Term:
-    """One process's time as the leader.
+    """One process's term as the leader.
 
     Attributes
     ----------
     id : str
         Unique to this term.
     epoch : int
-        Rises with each term; workers obey no lower one.
+        Rises with each term; workers reject orders of lower ones.
     lease : str
-        The store's lease that the leader's key is under.
+        The store lease that the leader key is attached to.
     """
 
     id: str
@@ -65,9 +65,9 @@
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where progress is kept.
+        Holds the progress.
     term : Term
-        The term that this process has taken.
+        The term that this process was elected for.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.term = term
         self._revision = term.epoch
         self._writes = 0
-        # When this process last knew that nobody else leads.
+        # When this process was last confirmed to be the only leader.
         self.confirmed_at = clock.read()
 
     async def commit(
@@ -85,32 +85,32 @@
         writes: t.Sequence[store_module.Write],
         absent: t.Sequence[str] = (),
     ) -> float:
-        """Write all or nothing, however long the store takes.
+        """Write atomically, retrying for as long as the store takes.
 
-        The same transaction is sent again until its outcome is known:
-        one of its copies may still take effect, and a different one in
-        its place could then be lost.
+        The same transaction is retried until its outcome is known: one of
+        its copies may still take effect, and a different transaction sent
+        instead could then be lost.
 
         Parameters
         ----------
         writes : sequence of persimmonsail.store.Write
-            What is written.
+            The writes.
         absent : sequence of str
-            Keys of which none may be there. Once written, they are not
-            removed before every copy of this transaction is gone.
+            Keys that must all be absent. Once written, they are not removed
+            before every copy of this transaction is gone.
 
         Returns
         -------
         float
-            The earliest moment, on ``clock``, at which the write may have
-            taken effect. None of ``absent`` was there at that moment; what
-            came after it is not known.
+            The earliest time, on ``clock``, at which the write may have
+            taken effect. All of ``absent`` were absent at that time; they
+            may have been written since.
 
         Raises
         ------
         persimmonsail.exceptions.KeysPresent
-            If one of ``absent`` is there. Nothing of this was written, or
-            will be.
+            If one of ``absent`` exists. The transaction was not applied, and
+            won't be.
         persimmonsail.exceptions.Deposed
             If another process leads now.
         """
@@ -122,16 +122,16 @@
         ]
         conditions = {record.HEAD: self._revision}
         conditions.update(dict.fromkeys(absent, 0))
-        pause = _RETRY_SECONDS
-        first = clock.read()
+        backoff = _RETRY_SECONDS
+        first_attempt_at = clock.read()
         while True:
-            begun = clock.read()
+            attempted_at = clock.read()
             try:
                 self._revision = await self._store.commit(conditions, rows)
-                known_at = begun
+                verified_at = attempted_at
             except exceptions.TransactionConflict as error:
-                self._take_conflict(error, head, absent)
-                known_at = first
+                self._resolve_conflict(error, head, absent)
+                verified_at = first_attempt_at
             except exceptions.StoreUnavailable as error:
                 logs.write_warning(
                     'commit-retried',
@@ -139,30 +139,30 @@
                     rows=len(rows),
                     error=error,
                 )
-                await anyio.sleep(pause)
-                pause = min(2 * pause, _LONGEST_RETRY_SECONDS)
+                await anyio.sleep(backoff)
+                backoff = min(2 * backoff, _MAX_RETRY_SECONDS)
                 continue
-            self.confirmed_at = max(self.confirmed_at, begun)
-            return known_at
+            self.confirmed_at = max(self.confirmed_at, attempted_at)
+            return verified_at
 
     async def confirm(self) -> None:
-        """Read the head and note that this process still leads.
+        """Read the head to confirm that this process still leads.
 
         Raises
         ------
         persimmonsail.exceptions.Deposed
             If another process leads now.
         persimmonsail.exceptions.StoreUnavailable
-            If the store gave no answer.
+            If the store did not respond.
         """
-        begun = clock.read()
+        attempted_at = clock.read()
         item = await self._store.get(record.HEAD)
-        head = _read_head(item) if item is not None else None
+        head = _parse_head(item) if item is not None else None
         if head is None or head.leader != self.term.id:
-            raise exceptions.Deposed("the head is not this leader's")
-        self.confirmed_at = max(self.confirmed_at, begun)
+            raise exceptions.Deposed('the head does not name this leader')
+        self.confirmed_at = max(self.confirmed_at, attempted_at)
 
-    def _take_conflict(
+    def _resolve_conflict(
         self,
         error: exceptions.TransactionConflict,
         head: Head,
@@ -177,17 +177,19 @@
             }
             if found:
                 raise exceptions.KeysPresent(found) from error
-        if item is None or _read_head(item) != head:
-            raise exceptions.Deposed('the head was moved') from error
-        # An earlier copy, whose answer was lost, has taken effect.
+        if item is None or _parse_head(item) != head:
+            raise exceptions.Deposed(
+                'another writer moved the head'
+            ) from error
+        # An earlier attempt, whose response was lost, has taken effect.
         self._revision = item.revision
 
 
-def _read_head(item: store_module.Item) -> Head | None:
-    """Return who may write; nothing if another writer left something else.
+def _parse_head(item: store_module.Item) -> Head | None:
+    """Parse the head; return None if another writer made it unreadable.
 
-    A term ends with that like with any head that is not its own: what it
-    writes next would be refused, and a new term writes a new head.
+    The term ends then, as with any head that is not its own: its next write
+    would be refused, and a new term writes a new head.
     """
     try:
         return Head.model_validate_json(item.value)
--- a/src/persimmonsail/jobs/record.py
+++ b/src/persimmonsail/jobs/record.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a job's progress."""
+"""The store's keys, and the stored form of jobs and their progress."""
 
 import dataclasses
 import enum
@@ -10,8 +10,8 @@
 from persimmonsail.jobs import queues
 from persimmonsail.jobs import specification as specification_module
 
-# The keys of the store, and what lies under them. Entries write below
-# the inbox; only the leader writes progress.
+# Keys and key prefixes in the store. Entries write below the inbox; only
+# the leader writes progress.
 INBOX = 'inbox/'
 JOBS = INBOX + 'job/'
 CANCELS = INBOX + 'cancel/'
@@ -21,13 +21,13 @@
 HEAD = 'head'
 KNOWLEDGE = 'knowledge'
 CAPACITIES = 'capacities'
-# Each report names all that runs; a fleet of the size to design for runs
-# 17,300 tasks at once.
-_PARSED_NAMES = 1 << 15
+# Each report names all running tasks; a fleet of the size designed for runs
+# 17,300 tasks at a time.
+_PARSE_CACHE_SIZE = 1 << 15
 
 
 class JobPhase(enum.StrEnum):
-    """How far a job is; the last three are final."""
+    """A job's phase; the last three are final."""
 
     QUEUED = 'queued'
     ACTIVE = 'active'
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobState:
-    """What a caller is told of a job.
+    """A job's state as reported to callers.
 
     Attributes
     ----------
     phase : JobPhase
-        How far it is.
+        The job's phase.
     reason : str
-        Why it has failed; empty for a job that has not.
+        Why the job failed; empty if it didn't.
     """
 
     phase: JobPhase
@@ -58,7 +58,7 @@
 
 
 class TaskPhase(enum.StrEnum):
-    """How far a task is."""
+    """A task's phase."""
 
     WAITING = 'waiting'
     PLACED = 'placed'
@@ -66,7 +66,7 @@
 
 
 class TaskKey(t.NamedTuple):
-    """Which of a job's tasks."""
+    """Identifies a task within its job."""
 
     occurrence: int
     step: int
@@ -77,13 +77,13 @@
 
     @property
     def of_step(self) -> tuple[int, int]:
-        """Occurrence and step, which tasks of one step share."""
+        """Occurrence and step, shared by all tasks of one step."""
         return self.occurrence, self.step
 
 
-@functools.lru_cache(_PARSED_NAMES)
+@functools.lru_cache(_PARSE_CACHE_SIZE)
 def parse_task_name(name: str) -> tuple[str, TaskKey] | None:
-    """Return job and key of a task's full name, or nothing."""
+    """Return job and key of a task's full name; None if it is invalid."""
     job, _, rest = name.partition('.')
     parts = rest.split('.')
     if len(parts) != 3 or not all(part.isdecimal() for part in parts):
@@ -92,27 +92,27 @@
 
 
 class Crashes(t.NamedTuple):
-    """What is held against a task whose worker's agents crashed under it.
+    """Evidence against a task whose workers' agents crashed during its runs.
 
     Attributes
     ----------
     count : int
-        How many crashes are counted, in a row.
+        Number of consecutive counted crashes.
     longest_ms : int
-        The longest time from a start to the crash, among those and the
-        excused ones.
+        The longest time from a start to the crash, among the counted and
+        the excused ones.
     run : int
-        The last run whose crash was looked at.
+        The last run whose crash was evaluated.
     apart : bool
-        Whether the last run was started apart from other suspects.
+        Whether the last run was isolated from other suspects.
     proofs : int
-        How many of the crashes can hardly be another task's: it was apart,
-        or no other that was there had as many before.
+        How many of the crashes were hardly caused by another task: this one
+        was isolated, or no other task present had as many crashes before.
     excused : int
-        How many crashes were not counted, since many agents crashed at the
-        same moment.
+        How many crashes were not counted, since many agents crashed
+        simultaneously.
     beside : bool
-        Whether the next run may begin beside others all the same.
+        Whether the next run may be colocated with others all the same.
     """
 
     count: int = 0
@@ -125,32 +125,32 @@
 
     @property
     def total(self) -> int:
-        """How many crashes there were in a row, excused ones too."""
+        """Number of consecutive crashes, including excused ones."""
         return self.count + self.excused
 
 
 @dataclasses.dataclass
 class TaskRecord:
-    """A task's state.
+    """A task's stored state.
 
     Attributes
     ----------
     phase : TaskPhase
-        Whether it waits, has a place, or is done.
+        Whether it waits, is placed, or is done.
     run : int
-        The number of its last start; 0 before the first.
+        The number of its last run; 0 before the first.
     instance, boot : str
-        Where that start was claimed: the instance's address, and the
-        life of its worker's agent.
+        Where that run is placed: the instance's address, and the
+        incarnation of its worker's agent.
     failures : int
-        Runs that ended as failed.
+        Number of failed runs.
     checkpoint : str
-        The newest one known; empty for none.
+        The newest reported checkpoint; empty for none.
     earlier_done : bool
-        Whether a run before the last one has done the work: the last one
+        Whether a run before the last one completed the task: the last run
         is stopped, and the task is done as soon as it has ended.
     crashes : Crashes
-        What is held against it.
+        Evidence of crashes that it may have caused.
     """
 
     phase: TaskPhase = TaskPhase.WAITING
@@ -171,7 +171,7 @@
     boot: str
     failures: int
     checkpoint: str
-    # Left out by entries of an earlier version.
+    # Missing in rows written by an earlier version.
     earlier_done: bool = False
 
 
@@ -179,14 +179,14 @@
     phase: JobPhase
     ended_ms: int
     tasks: list[_Row]
-    # By the tasks' keys, of the few that have any. Left out, as the reason
-    # is, by entries of an earlier version.
+    # By task key, only for the few tasks with crashes. Missing, like the
+    # reason, in progress written by an earlier version.
     crashes: dict[str, Crashes] = {}
     reason: str = ''
 
 
 class StoredSubmission(pydantic.BaseModel):
-    """An accepted job as an entry wrote it to the inbox.
+    """An accepted job as written to the inbox by an entry.
 
     Attributes
     ----------
@@ -195,10 +195,10 @@
     accepted_ms : int
         When it was accepted, in milliseconds since the epoch.
     specification : object
-        What was submitted.
+        The encoded specification.
     terms : persimmonsail.jobs.queues.Queue
-        The queue as it was then: a leader that was just started may not
-        have the configuration yet, or one without the queue.
+        The queue's configuration at that time: a newly started leader may
+        have no configuration yet, or one without the queue.
     """
 
     queue: str
@@ -207,25 +207,25 @@
     terms: queues.Queue | None = None
 
     def read_specification(self) -> specification_module.Specification:
-        """Return what was submitted."""
+        """Return the decoded specification."""
         return specification_module.decode(self.specification)
 
 
 class StoredCancel(pydantic.BaseModel):
-    """The mark of a cancelled job, as an entry wrote it to the inbox.
+    """A job's cancel marker as written to the inbox by an entry.
 
     Attributes
     ----------
     cancelled_ms : int
-        When it was cancelled, in milliseconds since the epoch; 0 in marks
-        of entries of an earlier version.
+        When it was cancelled, in milliseconds since the epoch; 0 in
+        markers written by an earlier version.
     """
 
     cancelled_ms: int = 0
 
 
 class StoredInstance(pydantic.BaseModel):
-    """Where a sidecar listens, as it wrote it to the inbox."""
+    """A sidecar's instance as written to the inbox, keyed by address."""
 
     name: str
     zone: str
@@ -238,13 +238,13 @@
     Attributes
     ----------
     phase : JobPhase
-        How far the job is.
+        The job's phase.
     ended_ms : int
         When it ended, in milliseconds since the epoch; 0 before.
     reason : str
-        Why it failed; empty for a job that has not.
+        Why it failed; empty if it didn't.
     tasks : dict of TaskKey to TaskRecord
-        Tasks that were never touched are left out.
+        Tasks without a record may be missing.
     """
 
     phase: JobPhase = JobPhase.QUEUED
@@ -253,11 +253,11 @@
     tasks: dict[TaskKey, TaskRecord] = dataclasses.field(default_factory=dict)
 
     def encode(self) -> str:
-        """Return the text that the store keeps; of an ended job no tasks.
+        """Return the stored text; tasks of an ended job are omitted.
 
-        Nobody asks what became of them, and a new leader reads every text
-        before it places anything: 6 KB of a job of 80 tasks, most jobs
-        having ended.
+        They are not read any more, and a new leader reads every text before
+        it places anything: 6 KB for a job of 80 tasks, and most jobs have
+        ended.
         """
         tasks = {} if self.phase.is_final else self.tasks
         rows = [
@@ -288,12 +288,12 @@
 
 
 def decode_progress(text: str) -> Progress:
-    """Read what ``Progress.encode`` returned.
+    """Decode a text returned by ``Progress.encode``.
 
     Raises
     ------
     ValueError
-        If it is something else.
+        If the text is invalid.
     """
     stored = _StoredProgress.model_validate_json(text)
     tasks = {}
@@ -305,6 +305,6 @@
 
 
 def decode_state(text: str) -> JobState:
-    """Return only what callers are told of a stored progress."""
+    """Decode only the state that is reported to callers."""
     stored = _StoredProgress.model_validate_json(text)
     return JobState(stored.phase, stored.reason)
--- a/src/persimmonsail/jobs/sweep.py
+++ b/src/persimmonsail/jobs/sweep.py
@@ -1,4 +1,4 @@
-"""Removing what nobody may ask for any more from the store."""
+"""Removal of expired jobs and cancel markers from the store."""
 
 import time
 
@@ -14,35 +14,35 @@
 _MILLISECONDS = 1000
 
 
-async def keep_sweeping(
+async def run_sweep_loop(
     store: store_module.TransactionalStore,
     board: board_module.Board,
     retention_seconds: float,
 ) -> None:
-    """Remove jobs that ended long ago, and cancels whose job never came.
+    """Remove expired jobs, and expired cancel markers without a job.
 
     Parameters
     ----------
     store : persimmonsail.store.TransactionalStore
-        Where they are kept.
+        Holds them.
     board : persimmonsail.jobs.board.Board
         The leader's jobs.
     retention_seconds : float
-        How long callers may ask for an ended job.
+        How long an ended job can be queried.
     """
     while True:
         await anyio.sleep(_SWEEP_SECONDS)
-        limit_ms = (time.time() - retention_seconds) * _MILLISECONDS
-        for id in board.list_ended(limit_ms):
+        cutoff_ms = (time.time() - retention_seconds) * _MILLISECONDS
+        for id in board.list_ended(cutoff_ms):
             await _remove(store, board, id)
-        for id in board.list_lone_cancels(limit_ms):
+        for id in board.list_orphaned_cancels(cutoff_ms):
             await _remove(store, board, id)
 
 
 async def _remove(
     store: store_module.TransactionalStore, board: board_module.Board, id: str
 ) -> None:
-    # Written past the head: nothing else writes these keys any more.
+    # Not conditional on the head: nothing else writes these keys any more.
     keys = [record.JOBS + id, record.CANCELS + id, record.PROGRESS + id]
     try:
         await store.commit({}, (), keys)
--- a/tests/jobs/test_board.py
+++ b/tests/jobs/test_board.py
@@ -7,7 +7,7 @@
 from tests import base
 from tests.jobs import cases
 
-ATTEMPTS = 2
+MAX_ATTEMPTS = 2
 
 
 class BoardTest(base.TestCase):
@@ -20,9 +20,9 @@
         self.board.add(job)
         return job
 
-    def end(self, task, how, checkpoint=''):
+    def end(self, task, outcome, checkpoint=''):
         return self.board.note_end(
-            task, task.state.run, board.End(how), checkpoint, ATTEMPTS
+            task, task.state.run, board.End(outcome), checkpoint, MAX_ATTEMPTS
         )
 
     def run_all(self, job):
@@ -30,17 +30,19 @@
             self.board.place(task, 'a', 'boot')
             self.end(task, 'done')
 
-    def test_a_cancel_whose_job_never_comes_is_listed_once_it_is_old(self):
-        """The store fills up with the marks of jobs that never were."""
+    def test_old_cancels_without_a_job_are_listed(self):
+        """Guards against cancel markers without a job filling the store."""
         job = cases.make_job()
         self.board.add(job)
         for id in (job.id, 'lone'):
             self.board.cancel(id)
         now_ms = time.time() * 1000
-        self.assertEqual([], self.board.list_lone_cancels(now_ms - 1000))
-        self.assertEqual(['lone'], self.board.list_lone_cancels(now_ms + 1000))
+        self.assertEqual([], self.board.list_orphaned_cancels(now_ms - 1000))
+        self.assertEqual(
+            ['lone'], self.board.list_orphaned_cancels(now_ms + 1000)
+        )
         self.board.forget('lone')
-        self.assertEqual([], self.board.list_lone_cancels(now_ms + 1000))
+        self.assertEqual([], self.board.list_orphaned_cancels(now_ms + 1000))
 
     def test_a_step_opens_once_all_tasks_before_it_are_done(self):
         job = self.add(cases.make_step(2), cases.make_step(1, after=(0,)))
@@ -60,25 +62,27 @@
         self.assertEqual(record.JobPhase.COMPLETE, job.phase)
 
     def test_an_end_of_an_earlier_run_changes_nothing(self):
-        """A build is reported done although its second run goes on.
+        """Guards against a task reported done while its second run goes on.
 
-        Its first run was given up with its instance; the instance comes
-        back and reports the end of that run after the second began.
+        The first run was abandoned with its instance; the instance returns
+        and reports that run's end after the second started.
         """
         job = self.add()
         (task,) = job.waiting.values()
         self.board.place(task, 'a', 'boot')
         self.end(task, 'lost')
         self.board.place(task, 'b', 'boot')
-        used = self.board.note_end(task, 1, board.End.DONE, '', ATTEMPTS)
-        self.assertFalse(used)
+        changed = self.board.note_end(
+            task, 1, board.End.DONE, '', MAX_ATTEMPTS
+        )
+        self.assertFalse(changed)
         self.assertEqual(record.TaskPhase.PLACED, task.state.phase)
 
     def test_work_that_was_done_is_kept_while_its_task_waits(self):
-        """A build is run anew although its first run had done it.
+        """Guards against repeating a task that its first run completed.
 
-        Its sidecar was away for longer than a lease; the run was given up
-        and its end, reported later, changed nothing.
+        Its sidecar was unreachable for longer than a lease; the run was
+        abandoned, and its end, reported later, was ignored.
         """
         job = self.add(cases.make_step(1), cases.make_step(1, after=(0,)))
         (task,) = job.waiting.values()
@@ -93,27 +97,27 @@
         self.assertEqual([], self.board.recalled)
 
     def test_a_later_run_is_recalled_before_its_task_is_done(self):
-        """A build is complete while a second run of it goes on.
+        """Guards against a complete job with a second run still going on.
 
-        The first run had done it, and was reported after the second was
-        placed elsewhere; whether that one has begun nobody knows yet.
+        The first run completed the task, and was reported after the second
+        was placed elsewhere, which may or may not have started yet.
         """
-        for how in ('stopped', 'not-started', 'lost', 'failed', 'done'):
-            board_ = board.Board()
+        for outcome in ('stopped', 'not-started', 'lost', 'failed', 'done'):
+            fresh_board = board.Board()
             job = cases.make_job()
-            board_.add(job)
+            fresh_board.add(job)
             (task,) = job.waiting.values()
-            board_.place(task, 'a', 'boot')
-            board_.note_end(task, 1, board.End.LOST, '', ATTEMPTS)
-            board_.place(task, 'b', 'boot')
-            self.assertTrue(board_.note_late_done(task, 1))
+            fresh_board.place(task, 'a', 'boot')
+            fresh_board.note_end(task, 1, board.End.LOST, '', MAX_ATTEMPTS)
+            fresh_board.place(task, 'b', 'boot')
+            self.assertTrue(fresh_board.note_late_done(task, 1))
             self.assertIs(record.JobPhase.ACTIVE, job.phase)
-            self.assertEqual([task], board_.recalled)
-            # A leader that takes over knows it, too.
-            kept = record.decode_progress(job.progress.encode())
-            self.assertTrue(kept.tasks[task.key].earlier_done)
-            board_.note_end(task, 2, board.End(how), '', ATTEMPTS)
-            self.assertIs(record.JobPhase.COMPLETE, job.phase, how)
+            self.assertEqual([task], fresh_board.recalled)
+            # The state survives a change of leader.
+            restored = record.decode_progress(job.progress.encode())
+            self.assertTrue(restored.tasks[task.key].earlier_done)
+            fresh_board.note_end(task, 2, board.End(outcome), '', MAX_ATTEMPTS)
+            self.assertIs(record.JobPhase.COMPLETE, job.phase, outcome)
             self.assertEqual(0, job.placed_count)
 
     def test_some_late_ends_are_no_end_of_their_task(self):
@@ -122,7 +126,7 @@
         self.assertFalse(self.board.note_late_done(first, 1))
         self.board.place(first, 'a', 'boot')
         self.end(first, 'lost')
-        # No such run was ever claimed.
+        # No run with this number was claimed.
         self.assertFalse(self.board.note_late_done(first, 2))
         self.board.place(first, 'a', 'boot')
         self.end(first, 'done')
@@ -145,15 +149,15 @@
         job = self.add()
         (task,) = job.waiting.values()
         numbers = []
-        for how in ('lost', 'stopped', 'lapsed', 'failed', 'not-started'):
+        for outcome in ('lost', 'stopped', 'lapsed', 'failed', 'not-started'):
             numbers.append(self.board.place(task, 'a', 'boot'))
-            self.end(task, how)
+            self.end(task, outcome)
         self.assertEqual([1, 2, 3, 4, 5], numbers)
 
     def test_a_job_fails_with_the_last_attempt_of_a_task(self):
         job = self.add()
         (task,) = job.waiting.values()
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             self.assertFalse(job.phase.is_final)
             self.board.place(task, 'a', 'boot')
             self.end(task, 'failed')
@@ -163,9 +167,9 @@
     def test_what_lasts_is_started_again_however_it_ends(self):
         job = self.add(cases.make_step(1, long_running=True))
         (task,) = job.waiting.values()
-        for how in ('failed', 'failed', 'failed', 'done', 'lost'):
+        for outcome in ('failed', 'failed', 'failed', 'done', 'lost'):
             self.board.place(task, 'a', 'boot')
-            self.end(task, how)
+            self.end(task, outcome)
             self.assertIn(task.key, job.waiting)
 
     def test_a_checkpoint_is_kept_for_the_next_run(self):
@@ -187,10 +191,10 @@
         self.assertEqual(record.JobPhase.CANCELLED, job.phase)
 
     def test_a_cancel_may_come_before_its_job(self):
-        """A cancelled watcher runs on for ever.
+        """Guards against a cancelled job that runs forever.
 
-        The leader reads the mark of the cancel before the job itself,
-        since both are pages of a scan that is no snapshot.
+        The leader may read the cancel marker before the job, since both are
+        pages of a scan that is no consistent snapshot.
         """
         self.board.cancel(cases.ID)
         job = self.add()
@@ -222,14 +226,16 @@
         self.board.place(second, 'b', 'other')
         progress = record.decode_progress(job.progress.encode())
         self.assertEqual(job.progress, progress)
-        again = job_module.Job(
+        restored_job = job_module.Job(
             job.id, job.queue, 0, job.specification, progress
         )
-        self.assertEqual({}, again.waiting)
-        self.assertEqual([second.key], [t.key for t in again.list_placed()])
+        self.assertEqual({}, restored_job.waiting)
+        self.assertEqual(
+            [second.key], [t.key for t in restored_job.list_placed()]
+        )
 
     def test_little_is_kept_of_a_job_that_has_ended(self):
-        """A new leader reads for seconds what became of ended jobs."""
+        """Guards against a new leader reading ended jobs for seconds."""
         job = self.add(cases.make_step(80))
         self.run_all(job)
         text = job.progress.encode()
@@ -237,14 +243,14 @@
         progress = record.decode_progress(text)
         self.assertIs(record.JobPhase.COMPLETE, progress.phase)
         self.assertEqual(job.progress.ended_ms, progress.ended_ms)
-        again = job_module.Job(
+        restored_job = job_module.Job(
             job.id, job.queue, 0, job.specification, progress
         )
-        self.assertEqual({}, again.waiting)
-        self.assertEqual([], again.list_placed())
+        self.assertEqual({}, restored_job.waiting)
+        self.assertEqual([], restored_job.list_placed())
 
     def test_the_checkpoints_that_are_worth_most_are_committed_first(self):
-        """All machines lose power, and each build begins anew.
+        """Guards against losing all checkpoints in a power loss.
 
         Checkpoints were only written when a task of the job ended.
         """
@@ -259,15 +265,15 @@
             self.board.note_checkpoint(task, 'half')
             jobs.append(job)
         self.board.changed.clear()
-        self.board.mark_unsaved(2)
+        self.board.queue_uncommitted(2)
         self.assertEqual({'b' * 16, 'c' * 16}, self.board.changed)
         for id in self.board.changed:
-            self.board.note_saved(self.board.jobs[id])
+            self.board.clear_uncommitted(self.board.jobs[id])
         self.board.changed.clear()
-        self.board.mark_unsaved(2)
+        self.board.queue_uncommitted(2)
         self.assertEqual({'a' * 16}, self.board.changed)
         self.board.forget('a' * 16)
-        self.board.mark_unsaved(2)
+        self.board.queue_uncommitted(2)
         self.assertEqual(set(), self.board.changed)
 
     def place_gang(self, count=3):
@@ -280,10 +286,10 @@
         return job, gang
 
     def test_one_done_end_stands_for_the_whole_gang(self):
-        """A simulation is run once more although it had ended well.
+        """Guards against repeating a gang that completed successfully.
 
-        One of its instances was lost before its own end was read; the
-        other ends already said that all of it was done.
+        One of its instances was lost before its own end was read; the ends
+        of the others already reported the gang as done.
         """
         job, gang = self.place_gang()
         self.end(gang[1], 'done')
@@ -293,7 +299,7 @@
         self.assertEqual([], self.board.broken)
 
     def test_a_late_done_end_recalls_the_whole_gang(self):
-        """A simulation is complete while its second run goes on."""
+        """Guards against a complete gang with its second run going on."""
         job, gang = self.place_gang()
         for task in gang:
             self.end(task, 'lost')
@@ -315,10 +321,10 @@
         self.assertEqual(2, job.placed_count)
 
     def test_failures_of_all_members_count_for_the_gang(self):
-        """A simulation that can't be done is started again and again.
+        """Guards against restarting a failing gang without limit.
 
-        Each time another of its tasks failed, and none of them as often
-        as is allowed.
+        Each time another of its tasks failed, so that none of them reached
+        the maximum number of failures.
         """
         job, gang = self.place_gang()
         self.end(gang[0], 'failed')
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -11,7 +11,7 @@
 
 
 class FakeStore:
-    """The leader's key and the head, and nothing else."""
+    """A store with only the leader key and the head."""
 
     def __init__(self):
         self.items = {}
@@ -53,8 +53,8 @@
         return self.items.get(key)
 
     async def commit(self, conditions, writes, removals=()):
-        known = self.items.get(record.LEADER)
-        if conditions[record.LEADER] != (known.revision if known else 0):
+        current = self.items.get(record.LEADER)
+        if conditions[record.LEADER] != (current.revision if current else 0):
             raise exceptions.TransactionConflict({})
         self.revision += 1
         for write in writes:
@@ -87,18 +87,18 @@
     async def elect(self, **cores):
         self.elected = anyio.Event()
         async with anyio.create_task_group() as group:
-            for name, size in cores.items():
-                group.start_soon(self.make_candidate(name, size).run)
+            for name, limit in cores.items():
+                group.start_soon(self.make_candidate(name, limit).run)
             with anyio.fail_after(3.0):
                 await self.elected.wait()
             group.cancel_scope.cancel()
         return self.leading[-1]
 
     async def test_an_entry_that_is_too_small_lets_others_lead(self):
-        """Watchers miss their targets after an entry was replaced.
+        """Guards against missed latency targets after a change of leader.
 
-        The smallest entry won the election, had half a core for the looks
-        of fifty instances, and fell seconds behind.
+        The smallest entry won the election, had half a core to process the
+        reports of fifty instances, and fell seconds behind.
         """
         for _ in range(5):
             winner = await self.elect(small=0.516, large=2.15)
@@ -113,11 +113,11 @@
         self.assertEqual('large', winner)
 
     async def test_keys_of_other_writers_keep_nobody_from_leading(self):
-        """Nothing starts any more, although every entry is well.
+        """Guards against a halt of all starts while every entry is healthy.
 
-        Another writer left a leader's key that can't be read, or one whose
-        name only begins like it; each entry took that for a store that is
-        away, or lost every election to it.
+        Another writer left an unreadable leader key, or one that shares its
+        prefix; each entry treated that as an unavailable store, or lost
+        every election because of it.
         """
         for key in (record.LEADER, record.LEADER + '-of-others'):
             item = store_module.Item(key, 'other', 0)
@@ -125,10 +125,10 @@
             self.assertEqual('any', await self.elect(any=None))
 
     async def test_few_of_many_entries_stand(self):
-        """Nothing starts for a while after a leader of a large fleet died.
+        """Guards against delayed starts after a large fleet's leader died.
 
-        Each of 35 entries took a lease of the store and lost an election,
-        and the winner's first answers waited behind all of them.
+        Each of 35 entries took a store lease and lost an election, and the
+        winner's first calls queued behind all of them.
         """
         dead = '{"id": "x", "name": "gone", "address": "dead"}'
         self.store.items[record.LEADER] = store_module.Item(
@@ -140,11 +140,10 @@
         self.assertLessEqual(self.store.leases, 6)
 
     async def test_a_slow_leader_keeps_its_term(self):
-        """Nothing starts for seconds, again and again, after a leader's
-        machine turned slow.
+        """Guards against repeated elections when a leader's machine is slow.
 
-        It renewed its lease and made sure that it leads one after the
-        other, and with 0.8 s for each the lease of 2 s ran out.
+        It renewed its lease and confirmed its term in sequence, and with
+        0.8 s for each the lease of 2 s expired.
         """
         self.store.answer_seconds = 0.8
         async with anyio.create_task_group() as group:
@@ -160,10 +159,10 @@
         self.assertLess(max(gaps), 1.5)
 
     async def test_the_end_of_a_term_says_why(self):
-        """Nobody on call learns why an entry stopped leading.
+        """Guards against log lines that hide why an entry stopped leading.
 
-        The line had 'unhandled errors in a TaskGroup' for its cause, since
-        the write that found the head moved was in a group of its own.
+        The logged cause was 'unhandled errors in a TaskGroup', since the
+        write that found the head moved ran in a task group of its own.
         """
 
         async def lead(ledger):
--- a/tests/jobs/test_leader.py
+++ b/tests/jobs/test_leader.py
@@ -24,10 +24,9 @@
         )
 
     async def test_checkpoints_outlast_a_loss_of_power(self):
-        """All machines lose power, and each build begins anew.
+        """Guards against tasks restarting from scratch after a power loss.
 
-        The agents forget what they ran, and the leader that knew the
-        builds' checkpoints is gone too.
+        The agents lose their runs' checkpoints, and so does the leader.
         """
         store = test_ledger.FakeStore()
         leader = self.open_leader(store)
@@ -40,14 +39,14 @@
         report.running.add(task=task.name, run=1, checkpoint='half')
         leader._reader.read(instance, report, 100.0)
         with anyio.move_on_after(1.2):
-            await leader._save_checkpoints()
+            await leader._run_checkpoint_loop()
         await leader._commit([])
         _, write = store.commits[-1]
         saved = record.decode_progress(write.value)
         self.assertEqual('half', saved.tasks[task.key].checkpoint)
 
     async def test_a_claim_of_a_cancelled_job_is_not_written(self):
-        """A job is started although its cancel was acknowledged."""
+        """Guards against starting a job after its cancel was acknowledged."""
         store = test_ledger.FakeStore()
         leader = self.open_leader(store)
         ids = (cases.ID, 'b' * 16)
@@ -57,7 +56,7 @@
         claims = cases.plan(
             leader.board, places.Places(), [instance], 100.0, 100.0
         )
-        store.marks = {record.CANCELS + cases.ID: '{"cancelled_ms": 1}'}
+        store.present_keys = {record.CANCELS + cases.ID: '{"cancelled_ms": 1}'}
         leader._fleet.start = lambda *arguments: None
         await leader._commit(claims)
         phases = [leader.board.jobs[id].committed_phase for id in ids]
@@ -67,10 +66,10 @@
         self.assertEqual(1, len(store.commits))
 
     def test_a_leader_that_is_cut_off_counts_no_jobs(self):
-        """'No job waits' is read while dozens of jobs do.
+        """Guards against 'no job waits' being reported while dozens do.
 
-        The leader was cut off from the store, another entry led, and the
-        first one still told all entries that it reached what it knew.
+        The leader was partitioned from the store, another entry led, and the
+        first one still reported its outdated state to reachable entries.
         """
         leader = self.open_leader()
         self.assertIsNone(leader.count_pending(cases.QUEUE.name))
@@ -81,13 +80,13 @@
         self.assertIsNone(leader.count_pending(cases.QUEUE.name))
 
     def make_submission(self, queue):
-        found = specification.Specification('', (cases.make_step(1),))
+        submitted = specification.Specification('', (cases.make_step(1),))
         return json.dumps(
             {
                 'queue': queue.name,
                 'terms': dataclasses.asdict(queue),
                 'accepted_ms': 1,
-                'specification': specification.encode(found),
+                'specification': specification.encode(submitted),
             }
         )
 
@@ -101,11 +100,11 @@
         leader._reader.read(instance, report, 100.0)
 
     def test_a_job_keeps_its_attempts_without_the_configuration(self):
-        """A check is shown as failed after a single failure of four.
+        """Guards against failing a job after one of four allowed failures.
 
-        All entries had lost power; the one that led next read the ends
-        that agents had listed 45 ms before its first configuration, and
-        took one failure for all that the queue allows.
+        After a power loss of all entries, the next leader read the ends
+        that agents reported 45 ms before its first configuration, and
+        assumed that the queue allows a single failure.
         """
         leader = self.open_leader()
         leader.note_job(cases.ID, self.make_submission(cases.QUEUE))
@@ -122,22 +121,22 @@
         self.fail_once(leader, job)
         self.assertIs(record.JobPhase.FAILED, job.phase)
 
-    async def test_entries_of_other_writers_name_no_instance(self):
-        """Nothing starts any more, although every instance is well.
+    async def test_invalid_instance_entries_are_ignored(self):
+        """Guards against a halt of all starts while instances are healthy.
 
-        Another writer left entries beside those of the sidecars; one had no
-        address as its key, so that the link to it ended with an error and
-        the leader's term with it, again and again.
+        Another writer left entries next to those of the sidecars; the key of
+        one was no address, so that the link to it raised an error, which
+        ended each leader's term.
         """
         leader = self.open_leader()
-        good = json.dumps({'name': 'one', 'zone': 'a'})
+        valid = json.dumps({'name': 'one', 'zone': 'a'})
         entries = (
-            ('no-address', good),
-            ('', good),
-            ('10.0.0.9:', good),
-            ('10.0.0.9:99999', good),
-            ('10.0.0.9\x00:7000', good),
-            ('10.0.0.9:7000\n', good),
+            ('no-address', valid),
+            ('', valid),
+            ('10.0.0.9:', valid),
+            ('10.0.0.9:99999', valid),
+            ('10.0.0.9\x00:7000', valid),
+            ('10.0.0.9:7000\n', valid),
             ('10.0.0.9:7000', ''),
             ('10.0.0.9:7000', '[]'),
             ('10.0.0.9:7000', '{"name": 3, "zone": "a"}'),
@@ -147,20 +146,20 @@
             async with anyio.create_task_group() as group:
                 leader._fleet.open(group)
                 for address, text in entries:
-                    leader._note_instance(address, text)
+                    leader._register_instance(address, text)
                 self.assertEqual({}, leader._fleet.instances)
-                leader._note_instance('10.0.0.1:7000', good)
+                leader._register_instance('10.0.0.1:7000', valid)
                 self.assertEqual(
                     ['10.0.0.1:7000'], list(leader._fleet.instances)
                 )
                 group.cancel_scope.cancel()
 
-    async def test_a_name_that_cannot_be_looked_up_ends_no_term(self):
-        """Nothing starts any more, although every instance is well.
+    async def test_an_unresolvable_address_ends_no_term(self):
+        """Guards against a halt of all starts while instances are healthy.
 
-        Another writer's entry has a key that reads as an address, but no
-        resolver takes its name; the link ended with an error of the codec,
-        and the leader's term with it.
+        The key of another writer's entry parses as an address, but resolvers
+        reject its host name; the link raised a codec error, which ended the
+        leader's term.
         """
         leader = self.open_leader()
         text = json.dumps({'name': 'one', 'zone': 'a'})
@@ -168,21 +167,23 @@
             async with anyio.create_task_group() as group:
                 leader._fleet.open(group)
                 for address in ('a..b:80', f'{"x" * 70}.example:80'):
-                    leader._note_instance(address, text)
+                    leader._register_instance(address, text)
                 await anyio.sleep_forever()
-        # The link tries again; nobody else notices.
+        # The link retries; nothing else is affected.
         attached = [i.attached for i in leader._fleet.instances.values()]
         self.assertEqual([False, False], attached)
 
-    def test_a_job_of_another_writer_holds_up_no_other(self):
-        """A leader cannot load its jobs: one entry is unreadable."""
+    def test_an_unreadable_job_blocks_no_other(self):
+        """Guards against a leader that can't load jobs due to a bad entry."""
         leader = self.open_leader()
         text = self.make_submission(cases.QUEUE)
         for progress in ('', '[]', UNKNOWN_TASK):
-            self.assertIsNone(leader._read_job('other', text, progress or ' '))
-        for broken in ('', '{}', '[1]'):
-            self.assertIsNone(leader._read_job('other', broken, None))
-        self.assertIsNotNone(leader._read_job(cases.ID, text, None))
+            self.assertIsNone(
+                leader._parse_job('other', text, progress or ' ')
+            )
+        for invalid in ('', '{}', '[1]'):
+            self.assertIsNone(leader._parse_job('other', invalid, None))
+        self.assertIsNotNone(leader._parse_job(cases.ID, text, None))
 
 
 UNKNOWN_TASK = json.dumps(
--- a/tests/jobs/test_leader_load.py
+++ b/tests/jobs/test_leader_load.py
@@ -7,16 +7,15 @@
 from tools.emulator import load
 from tools.emulator import metered
 
-# A renewal that is later than this costs the leader its term when the next
-# one is as late.
-MOST_LAG = 0.25 * (election.LEASE_SECONDS - 2 * election.RENEW_SECONDS)
+# A leader loses its term if two consecutive renewals are later than this.
+MAX_LAG_SECONDS = 0.25 * (election.LEASE_SECONDS - 2 * election.RENEW_SECONDS)
 
 
 class LeaderLoadTest(base.TestCase):
     """Replays the first seconds of a calm day on a large fleet.
 
-    Every sidecar reports twice a second and more when runs end, callers
-    hand in 40 jobs a second, and the leader pays for what it computes.
+    Every sidecar reports twice a second, and also when runs end, callers
+    submit 40 jobs a second, and the leader's CPU time delays it.
     """
 
     def play(self, instances, lead=6.0, seconds=4.0):
@@ -25,31 +24,32 @@
             mock.patch.object(day, '_LEAD_SECONDS', lead),
             mock.patch.object(day, '_AFTER_SECONDS', 0.0),
         ):
-            played = metered.MeteredDay(metered.make_large(instances), 1)
-            played.play()
-        return played
+            replay = metered.MeteredDay(metered.make_large(instances), 1)
+            replay.play()
+        return replay
 
     def test_a_leader_keeps_up_with_a_large_fleet(self):
-        """Half of all checks begin after 3 s, and leaders change by turns.
+        """Guards against 3 s median start delays and repeated elections.
 
         The leader compared each gauge with all others and rated each
         instance for each task, fell behind, renewed its lease too late
-        and was replaced by one that knew less and had more to do.
+        and was replaced by one with less state and more to do.
         """
-        played = self.play(160)
-        # 3.4 of a processor and 20 s behind, one by one; 0.34 as vectors.
-        self.assertLess(sum(played.used) / 10.0, 0.5)
-        self.assertLess(max(played.lags), MOST_LAG)
-        waits = sorted(played.starts.values())
+        replay = self.play(160)
+        # Scalar code took 3.4 cores and fell 20 s behind; vectorised code
+        # takes 0.34.
+        self.assertLess(sum(replay.used) / 10.0, 0.5)
+        self.assertLess(max(replay.lags), MAX_LAG_SECONDS)
+        waits = sorted(replay.starts.values())
         self.assertGreater(len(waits), 100)
         self.assertLess(statistics.median(waits), 0.1)
 
     def test_a_leader_loads_the_largest_fleet(self):
-        """No leader lasts on a fleet of the size to design for.
+        """Guards against leaders losing their terms on the largest fleet.
 
-        Hundreds of watchers and builds wait when it begins, and all
-        instances are empty.
+        Hundreds of serving and batch tasks wait when the leader starts, and
+        all instances are empty.
         """
-        played = self.play(840, lead=2.0, seconds=1.0)
-        self.assertLess(sum(played.used) / 3.0, 1.0)
-        self.assertLess(max(played.lags), MOST_LAG)
+        replay = self.play(840, lead=2.0, seconds=1.0)
+        self.assertLess(sum(replay.used) / 3.0, 1.0)
+        self.assertLess(max(replay.lags), MAX_LAG_SECONDS)
--- a/tests/jobs/test_ledger.py
+++ b/tests/jobs/test_ledger.py
@@ -10,35 +10,35 @@
 
 
 class FakeStore:
-    """The head and marks; each call's fate is given beforehand.
+    """A store with the head and marker keys, and preset call outcomes.
 
-    ``lost`` takes effect without an answer, ``refused`` does not take
-    effect.
+    A ``lost`` call takes effect without a response, a ``refused`` one has
+    no effect.
     """
 
-    def __init__(self, *fates: str) -> None:
-        self.fates = list(fates)
+    def __init__(self, *outcomes: str) -> None:
+        self.outcomes = list(outcomes)
         self.revision = 5
         self.head = ''
-        self.marks: dict[str, str] = {}
+        self.present_keys: dict[str, str] = {}
         self.commits: list[list[store_module.Write]] = []
 
     async def commit(self, conditions, writes, removals=()):
-        fate = self.fates.pop(0) if self.fates else 'ok'
-        if fate == 'refused':
+        outcome = self.outcomes.pop(0) if self.outcomes else 'ok'
+        if outcome == 'refused':
             raise exceptions.CallRefused('busy')
-        marked = conditions.keys() & self.marks.keys()
-        if marked or conditions[record.HEAD] != self.revision:
+        present = conditions.keys() & self.present_keys.keys()
+        if present or conditions[record.HEAD] != self.revision:
             item = store_module.Item(record.HEAD, self.head, self.revision)
             found = {
-                key: store_module.Item(key, self.marks[key], 1)
-                for key in marked
+                key: store_module.Item(key, self.present_keys[key], 1)
+                for key in present
             }
             raise exceptions.TransactionConflict({record.HEAD: item, **found})
         self.revision += 1
         self.head = writes[0].value
         self.commits.append(list(writes))
-        if fate == 'lost':
+        if outcome == 'lost':
             raise exceptions.StoreUnavailable('no answer')
         return self.revision
 
@@ -47,96 +47,98 @@
 
 
 class LedgerTest(base.TestCase):
-    def open(self, *fates):
-        store = FakeStore(*fates)
+    def open(self, *outcomes):
+        store = FakeStore(*outcomes)
         return store, ledger.Ledger(store, ledger.Term('me', 5, '1'))
 
     async def test_a_write_whose_answer_was_lost_counts_once(self):
-        store, own = self.open('lost', 'ok')
+        store, leader_ledger = self.open('lost', 'ok')
         write = store_module.Write('progress/a', 'x')
-        await own.commit([write])
-        await own.commit([write])
+        await leader_ledger.commit([write])
+        await leader_ledger.commit([write])
         self.assertEqual(2, len(store.commits))
 
     async def test_a_refused_write_is_sent_again(self):
-        store, own = self.open('refused', 'refused')
-        await own.commit([store_module.Write('progress/a', 'x')])
+        store, leader_ledger = self.open('refused', 'refused')
+        await leader_ledger.commit([store_module.Write('progress/a', 'x')])
         self.assertEqual(1, len(store.commits))
 
     async def test_a_replaced_leader_writes_nothing(self):
-        """A finished job is active again.
+        """Guards against a finished job becoming active again.
 
-        A leader that was frozen wakes after its successor has gone on,
-        and writes what it knew.
+        A frozen leader resumes after its successor has made progress, and
+        writes its outdated state.
         """
-        store, own = self.open()
+        store, leader_ledger = self.open()
         store.revision = 9
         store.head = ledger.Head(leader='other', writes=3).model_dump_json()
         with anyio.fail_after(5):
             try:
-                await own.commit([store_module.Write('progress/a', 'old')])
+                await leader_ledger.commit(
+                    [store_module.Write('progress/a', 'old')]
+                )
             except exceptions.Deposed:
                 pass
             else:
-                self.fail('it may still write')
+                self.fail('a replaced leader was able to write')
         self.assertEqual([], store.commits)
 
-    async def test_nothing_is_written_beside_a_key_that_has_to_be_absent(self):
-        store, own = self.open()
-        store.marks = {'mark/a': 'text'}
+    async def test_a_commit_fails_if_a_key_required_absent_exists(self):
+        store, leader_ledger = self.open()
+        store.present_keys = {'mark/a': 'text'}
         write = store_module.Write('progress/a', 'x')
         found = {}
         try:
-            await own.commit([write], absent=['mark/a', 'mark/b'])
+            await leader_ledger.commit([write], absent=['mark/a', 'mark/b'])
         except exceptions.KeysPresent as error:
             found = error.found
         self.assertEqual({'mark/a': 'text'}, found)
         self.assertEqual([], store.commits)
-        await own.commit([write], absent=['mark/b'])
+        await leader_ledger.commit([write], absent=['mark/b'])
         self.assertEqual(1, len(store.commits))
 
-    async def test_a_write_before_the_mark_counts_though_answered_after(self):
-        store, own = self.open('lost')
+    async def test_a_write_before_the_cancel_counts_if_answered_later(self):
+        store, leader_ledger = self.open('lost')
         write = store_module.Write('progress/a', 'x')
         before = clock.read()
         commit = store.commit
 
-        async def commit_and_mark(*arguments):
+        async def commit_and_cancel(*arguments):
             try:
                 return await commit(*arguments)
             finally:
-                store.marks = {'mark/a': 'text'}
+                store.present_keys = {'mark/a': 'text'}
                 await anyio.sleep(0.1)
 
-        store.commit = commit_and_mark
-        known_at = await own.commit([write], absent=['mark/a'])
+        store.commit = commit_and_cancel
+        verified_at = await leader_ledger.commit([write], absent=['mark/a'])
         self.assertEqual(1, len(store.commits))
-        # What was known then is as old as the first copy.
-        self.assertLess(known_at - before, 0.1)
+        # The check dates from the first attempt.
+        self.assertLess(verified_at - before, 0.1)
 
     async def test_a_head_of_another_writer_ends_the_term(self):
-        """Leases end under a leader that goes on for ever.
+        """Guards against a leader that continues while its leases expire.
 
-        Another writer left something else in the head's place; read as a
-        store without an answer, it never told the leader that its writes
-        would be refused, and after 8 s its runs were renewed no more.
+        Another writer overwrote the head; treated like an unavailable store,
+        that never showed the leader that its writes would be refused, and
+        after 8 s its runs were no longer renewed.
         """
-        store, own = self.open()
-        await own.commit([])
+        store, leader_ledger = self.open()
+        await leader_ledger.commit([])
         store.head = 'other'
         with testtools.ExpectedException(exceptions.Deposed):
-            await own.confirm()
+            await leader_ledger.confirm()
         store.revision += 1
         with testtools.ExpectedException(exceptions.Deposed):
-            await own.commit([])
+            await leader_ledger.commit([])
 
     async def test_only_its_own_head_confirms_a_leader(self):
-        store, own = self.open()
-        await own.commit([])
-        await own.confirm()
+        store, leader_ledger = self.open()
+        await leader_ledger.commit([])
+        await leader_ledger.confirm()
         store.head = ledger.Head(leader='other', writes=0).model_dump_json()
         try:
-            await own.confirm()
+            await leader_ledger.confirm()
         except exceptions.Deposed:
             return
-        self.fail('it still leads')
+        self.fail('the term was confirmed by the head of another leader')
