--- a/src/persimmonsail/decisions/__init__.py
+++ b/src/persimmonsail/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about work and instances, apart from input and output."""
+"""Scheduling decisions about work and instances, free of I/O."""
--- a/src/persimmonsail/decisions/admission.py
+++ b/src/persimmonsail/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Admission of work to one instance.
+"""Admission control for one instance.
 
-The only place where processors, memory, accelerators, slots and
-connections are committed.
+The only module that commits processors, memory, accelerators, slots and
+connections.
 """
 
 import dataclasses
@@ -27,13 +27,13 @@
     def fits(self, capacity: 'Size') -> bool:
         """Whether a commitment of this size stays within capacity."""
         return (
-            self.cores <= capacity.cores + _ROUNDING
-            and self.memory_gb <= capacity.memory_gb + _ROUNDING
+            self.cores <= capacity.cores + _ROUNDING_TOLERANCE
+            and self.memory_gb <= capacity.memory_gb + _ROUNDING_TOLERANCE
             and self.accelerators <= capacity.accelerators
         )
 
     def to_message(self) -> control_pb2.Size:
-        """Return the protocol's form."""
+        """Return the protocol message."""
         return control_pb2.Size(
             cores=self.cores,
             memory_gb=self.memory_gb,
@@ -41,41 +41,41 @@
         )
 
 
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
-# Tasks leave this part of an instance's processors and memory free, so
-# that a quick request finds room at once.
-HEADROOM = 0.15
-# Quick requests that are not urgent leave this part free for those that
-# are; urgent ones may take all.
+# The fraction of an instance's processors and memory that tasks leave
+# free, so that quick requests find capacity immediately.
+TASK_HEADROOM = 0.15
+# The fraction that other quick requests leave free for urgent ones, which
+# may use the full capacity.
 URGENT_HEADROOM = 0.05
 
 
 def leave_headroom(capacity: Size) -> Size:
-    """Return the part of a capacity that tasks may take."""
-    return _leave(capacity, HEADROOM)
+    """Return the part of a capacity that tasks may use."""
+    return _reduce(capacity, TASK_HEADROOM)
 
 
 def find_quick_limit(capacity: Size, urgent: bool) -> Size:
-    """Return the part of a capacity that quick requests may take."""
-    return capacity if urgent else _leave(capacity, URGENT_HEADROOM)
+    """Return the part of a capacity that quick requests may use."""
+    return capacity if urgent else _reduce(capacity, URGENT_HEADROOM)
 
 
-def _leave(capacity: Size, part: float) -> Size:
+def _reduce(capacity: Size, fraction: float) -> Size:
     return Size(
-        capacity.cores * (1 - part),
-        capacity.memory_gb * (1 - part),
+        capacity.cores * (1 - fraction),
+        capacity.memory_gb * (1 - fraction),
         capacity.accelerators,
     )
 
 
 def read_size(message: control_pb2.Size) -> Size:
-    """Read the protocol's form of a size."""
+    """Return the size given in a protocol message."""
     return Size(message.cores, message.memory_gb, message.accelerators)
 
 
 class Commitments:
-    """What is committed on an instance, never beyond its capacity."""
+    """Commitments of an instance; new ones never exceed its capacity."""
 
     def __init__(self, capacity: Size) -> None:
         self.capacity = capacity
@@ -89,11 +89,11 @@
     def try_commit(
         self, holder: str, size: Size, limit: Size | None = None
     ) -> bool:
-        """Commit a size for a holder, if all then fits the limit.
+        """Commit a size for a holder if the new total fits the limit.
 
-        The check against capacity answers overcommitment: entries
-        choose from reports that are some time old, so several of them
-        may pick this instance at once.
+        The check prevents overcommitment: entries choose instances from
+        reports that may be stale, so several of them may choose this
+        one simultaneously.
         """
         if holder in self._sizes:
             return True
@@ -103,7 +103,7 @@
         return True
 
     def release(self, holder: str) -> None:
-        """Give a holder's commitment back."""
+        """Release a holder's commitment."""
         self._sizes.pop(holder, None)
 
     def list_holders(self, prefix: str) -> list[str]:
@@ -111,5 +111,5 @@
         return [name for name in self._sizes if name.startswith(prefix)]
 
     def restore(self, holder: str, size: Size) -> None:
-        """Note what already runs, whatever room there is."""
+        """Record running work, regardless of the free capacity."""
         self._sizes[holder] = size
--- a/src/persimmonsail/decisions/backlog.py
+++ b/src/persimmonsail/decisions/backlog.py
@@ -1,47 +1,47 @@
-"""How long an instance's backlog takes, from observed service times."""
+"""Queueing delay of an instance, estimated from its service times."""
 
 import random
 
-_WEIGHT = 0.1
-_FIRST_GUESS = 0.05
+_SMOOTHING_FACTOR = 0.1
+_INITIAL_SECONDS = 0.05
 _JITTER = 0.25
-_LEAST = 0.05
+_MIN_RETRY_SECONDS = 0.05
 
 
 class Backlog:
-    """Estimates waiting times of a queue before some servers.
+    """Estimates waiting times of a queue with parallel servers.
 
     Parameters
     ----------
     slots : int
-        How many requests are served at once.
+        How many requests are served concurrently.
     generator : random.Random
-        Spreads the times at which refused callers come back.
+        Source of the jitter of suggested retry delays.
     """
 
     def __init__(self, slots: int, generator: random.Random) -> None:
         self._slots = slots
         self._generator = generator
-        self.service_seconds = _FIRST_GUESS
-        self._samples = 0
+        self.service_seconds = _INITIAL_SECONDS
+        self._sample_count = 0
 
     def note_service(self, seconds: float) -> None:
-        """Take one request's observed service time in."""
-        self._samples += 1
-        weight = max(_WEIGHT, 1 / self._samples)
+        """Record the service time of one request."""
+        self._sample_count += 1
+        weight = max(_SMOOTHING_FACTOR, 1 / self._sample_count)
         self.service_seconds += weight * (seconds - self.service_seconds)
 
     def estimate_wait(self, busy: int, queued: int) -> float:
         """Return the seconds until one more request would be served."""
-        waiting = queued + max(busy - self._slots + 1, 0)
-        return waiting * self.service_seconds / self._slots
+        ahead = queued + max(busy - self._slots + 1, 0)
+        return ahead * self.service_seconds / self._slots
 
     def suggest_return(self, busy: int, queued: int) -> float:
-        """Return after how many seconds coming back helps, with jitter.
+        """Return the delay in seconds before a retry, with jitter.
 
-        Without jitter, all callers refused in one wave come back in one
-        wave, and are refused again.
+        Without jitter, callers that are refused in one burst retry in
+        one burst and are refused again.
         """
         backlog = (busy + queued) * self.service_seconds / self._slots
-        spread = 1 + self._generator.uniform(-_JITTER, _JITTER)
-        return max(backlog, _LEAST) * spread
+        jitter = 1 + self._generator.uniform(-_JITTER, _JITTER)
+        return max(backlog, _MIN_RETRY_SECONDS) * jitter
--- a/src/persimmonsail/decisions/backoff.py
+++ b/src/persimmonsail/decisions/backoff.py
@@ -1,4 +1,4 @@
-"""How long a task waits after its start was refused, or in vain."""
+"""Backoff of tasks whose last start was refused or interrupted."""
 
 import dataclasses
 import random
@@ -6,33 +6,34 @@
 
 from persimmonsail.bookkeeping import reasons
 
-SHORTEST = 0.1
-LONGEST = 5.0
-# Tasks that were refused together come back spread by this part.
+MIN_WAIT_SECONDS = 0.1
+MAX_WAIT_SECONDS = 5.0
+# Relative jitter, so that tasks refused simultaneously retry at different
+# times.
 JITTER = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """A task's wait after a row of refused starts.
+    """A task's wait after consecutive refused starts.
 
-    ``step`` is the wait in seconds before jitter, ``until`` its end in
+    ``base_seconds`` is the wait before jitter, ``until`` its end in
     monotonic seconds.
     """
 
     attempt: int
     refusals: int
-    step: float
+    base_seconds: float
     until: float
 
 
 class Backoff:
-    """Makes tasks wait, each on its own, after refused starts.
+    """Delays each task separately after refused starts.
 
     A refused start costs the store a claim and a release. While every
-    sidecar refuses, tasks that try ten times a second would take the
-    store's writes from all others. The waits are this process's only: a
-    follower tries at once.
+    sidecar refuses, tasks that retry ten times a second would use up the
+    store's write throughput. Waits are local to this process: a follower
+    that takes over retries immediately.
 
     Parameters
     ----------
@@ -52,7 +53,7 @@
         retry_after: float,
         now: float,
     ) -> Wait | None:
-        """Take in that a sidecar refused an attempt for some reason.
+        """Record that a sidecar refused an attempt.
 
         Parameters
         ----------
@@ -63,7 +64,7 @@
         reason : str
             The sidecar's reason.
         retry_after : float
-            Seconds after which the sidecar would be asked again, or zero.
+            The delay in seconds that the sidecar suggests, or zero.
         now : float
             Monotonic seconds.
 
@@ -74,26 +75,26 @@
         """
         if reason == reasons.LEAVING:
             return None
-        last = self._waits.get(task)
+        previous = self._waits.get(task)
         refusals = 1
-        step = retry_after or SHORTEST
-        # After an attempt that was not refused the row begins anew.
-        if last is not None and attempt == last.attempt + 1:
-            refusals = last.refusals + 1
-            step = max(last.step * 2, step)
-        step = min(step, LONGEST / (1 + JITTER))
-        seconds = step * (1 + JITTER * self._generator.random())
-        wait = Wait(attempt, refusals, step, now + seconds)
+        base_seconds = retry_after or MIN_WAIT_SECONDS
+        # An attempt in between that was not refused resets the backoff.
+        if previous is not None and attempt == previous.attempt + 1:
+            refusals = previous.refusals + 1
+            base_seconds = max(previous.base_seconds * 2, base_seconds)
+        base_seconds = min(base_seconds, MAX_WAIT_SECONDS / (1 + JITTER))
+        seconds = base_seconds * (1 + JITTER * self._generator.random())
+        wait = Wait(attempt, refusals, base_seconds, now + seconds)
         self._waits[task] = wait
         return wait
 
     def has_wait(self, task: str, attempt: int) -> bool:
-        """Tell whether a task's wait after this attempt is known."""
+        """Return whether a wait is recorded for an attempt of a task."""
         wait = self._waits.get(task)
         return wait is not None and wait.attempt == attempt
 
     def is_waiting(self, task: str, now: float) -> bool:
-        """Tell whether a task's wait goes on; ``now`` as above."""
+        """Return whether a task still waits at ``now``."""
         wait = self._waits.get(task)
         return wait is not None and now < wait.until
 
--- a/src/persimmonsail/decisions/fleet.py
+++ b/src/persimmonsail/decisions/fleet.py
@@ -1,4 +1,4 @@
-"""An entry's view of instances, as their sidecars announce them."""
+"""An entry's view of the instances that sidecars announce."""
 
 import dataclasses
 import time
@@ -8,18 +8,20 @@
 from persimmonsail.decisions import interference
 from persimmonsail.decisions import usage
 
-FORGET_SECONDS = 900.0
+RETENTION_SECONDS = 900.0
 
 
 @dataclasses.dataclass
 class Instance:
     """One announced instance; times are monotonic seconds.
 
-    ``outstanding`` counts this entry's own requests there; ``failures``
-    and ``unproved`` the tasks that failed in a row and those that have
-    not yet begun well, see ``persimmonsail.quarantine``. ``shares``
-    has the part of the cores that each batch class uses, ``demand`` the
-    part of the slots that each latency-critical class keeps busy.
+    ``outstanding`` counts this entry's own requests in flight there,
+    ``failures`` the consecutive task failures, and ``unproved`` the
+    started tasks that have neither ended nor run for long enough to
+    prove themselves, see ``persimmonsail.decisions.quarantine``.
+    ``shares`` has the fraction of the cores that each batch class uses,
+    ``demand`` the fraction of the slots that each latency-critical class
+    keeps busy.
     """
 
     name: str
@@ -48,27 +50,29 @@
 
 
 class Fleet:
-    """Instances by name; a silent one ages out.
+    """Instances by name; those that stop reporting expire.
 
-    ``estimator`` has learnt from the samples of all reports.
+    ``estimator`` learns from the samples of all reports.
 
     Parameters
     ----------
-    silence : float
-        Seconds of silence after which an instance gets no new work.
-    forget : float, optional
-        Seconds of silence after which an instance is forgotten.
+    timeout : float
+        Seconds without a report after which an instance gets no new work.
+    retention : float, optional
+        Seconds without a report after which an instance is removed.
     """
 
-    def __init__(self, silence: float, forget: float = FORGET_SECONDS) -> None:
-        self._silence = silence
+    def __init__(
+        self, timeout: float, retention: float = RETENTION_SECONDS
+    ) -> None:
+        self._timeout = timeout
         self.estimator = interference.Estimator()
-        self._forget = forget
-        self._forgot_at = time.monotonic()
+        self._retention = retention
+        self._last_cleanup_at = time.monotonic()
         self._instances: dict[str, Instance] = {}
 
     def note_report(self, report: control_pb2.SidecarReport) -> Instance:
-        """Take a sidecar's announcement or change in."""
+        """Record a sidecar's announcement or update."""
         before = self._instances.get(report.instance)
         if before is not None and _is_late(report, before):
             return before
@@ -104,18 +108,19 @@
             self.estimator.learn(
                 usage.read_sample(sample, instance.reported_at)
             )
-        self._forget_silent()
+        self._remove_expired()
         if before is None:
             self._instances[report.instance] = instance
             return instance
-        # Requests in flight hold on to the object and count themselves
-        # off on it; a new object would keep their count for ever.
+        # Requests in flight hold a reference to the object and decrement
+        # its counter when they end; a new object's counter would never
+        # return to zero.
         instance.outstanding = before.outstanding
         vars(before).update(vars(instance))
         return before
 
     def note_load(self, name: str, load: control_pb2.Load) -> None:
-        """Take in the load that came with a reply."""
+        """Record the load reported in a reply."""
         instance = self._instances.get(name)
         if instance is None:
             return
@@ -129,10 +134,10 @@
     def note_reply(
         self, name: str, incarnation: str, reply: control_pb2.ExecuteReply
     ) -> None:
-        """Take in load and clock of a reply, unless it came late.
+        """Record the load and clock of a reply unless it is outdated.
 
-        A reply of a sidecar that was since replaced tells nothing about
-        the new one.
+        A reply of a sidecar that has since been replaced does not
+        describe the new one.
         """
         instance = self._instances.get(name)
         if instance is None or instance.incarnation != incarnation:
@@ -141,45 +146,45 @@
             instance.clock_ms = reply.clock_ms
             self.note_load(name, reply.load)
 
-    def _forget_silent(self) -> None:
+    def _remove_expired(self) -> None:
         now = time.monotonic()
-        if now - self._forgot_at < self._forget / 10:
+        if now - self._last_cleanup_at < self._retention / 10:
             return
-        self._forgot_at = now
+        self._last_cleanup_at = now
         for name, instance in list(self._instances.items()):
-            silent = now - instance.reported_at > self._forget
-            if silent and not instance.outstanding:
+            is_expired = now - instance.reported_at > self._retention
+            if is_expired and not instance.outstanding:
                 del self._instances[name]
 
     def find(self, name: str) -> Instance | None:
-        """Return an instance, also when it has gone silent."""
+        """Return an instance, even if it no longer reports."""
         return self._instances.get(name)
 
     def list_all(self) -> list[Instance]:
-        """Return every instance that was ever announced."""
+        """Return all instances that have not been removed."""
         return list(self._instances.values())
 
     def list_live(self, service: str = '') -> list[Instance]:
-        """Return instances that may get new work.
+        """Return the instances that may get new work.
 
         Parameters
         ----------
         service : str, optional
-            Only instances whose backend server offers this.
+            Only instances whose backend server offers this service.
         """
-        oldest = time.monotonic() - self._silence
+        min_reported_at = time.monotonic() - self._timeout
         return [
             instance
             for instance in self._instances.values()
-            if instance.reported_at >= oldest
+            if instance.reported_at >= min_reported_at
             and not instance.leaving
             and (not service or _serves(instance, service))
         ]
 
 
-def _is_late(report: control_pb2.SidecarReport, known: Instance) -> bool:
-    same = report.incarnation == known.incarnation
-    return same and report.clock_ms < known.clock_ms
+def _is_late(report: control_pb2.SidecarReport, current: Instance) -> bool:
+    same_incarnation = report.incarnation == current.incarnation
+    return same_incarnation and report.clock_ms < current.clock_ms
 
 
 def _serves(instance: Instance, service: str) -> bool:
--- a/src/persimmonsail/decisions/hedging.py
+++ b/src/persimmonsail/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""When to send a second attempt at an idempotent quick request."""
+"""Hedging of idempotent quick requests with a second attempt."""
 
 import abc
 import collections
@@ -6,12 +6,12 @@
 
 from hdrh import histogram
 
-_LOWEST_MS = 1
-_HIGHEST_MS = 60_000
-_DIGITS = 2
+_MIN_LATENCY_MS = 1
+_MAX_LATENCY_MS = 60_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILE = 95.0
-_FEWEST = 20
-_ROTATE = 1000
+_MIN_SAMPLES = 20
+_ROTATION_SAMPLES = 1000
 _MAX_WORKLOADS = 256
 
 POLICIES: dict[str, t.Callable[[], 'Hedging']] = {}
@@ -28,69 +28,74 @@
 
 
 class Hedging(abc.ABC):
-    """Learns how long workloads take."""
+    """Derives hedging delays from the latencies of workloads."""
 
     @abc.abstractmethod
     def note_latency(self, workload: str, seconds: float) -> None:
-        """Take one answered request into account."""
+        """Record the latency of one answered request."""
 
     @abc.abstractmethod
     def find_delay(self, workload: str) -> float | None:
-        """Return seconds after which to hedge; none for never."""
+        """Return the seconds after which to hedge; none for never."""
 
 
-class _Latencies:
-    """The latencies of one workload, the older half forgotten."""
+class _LatencyWindow:
+    """Recent latencies of one workload, in two rotating histograms."""
 
     def __init__(self) -> None:
         self._current = _make_histogram()
-        self._last: histogram.HdrHistogram | None = None
+        self._previous: histogram.HdrHistogram | None = None
 
-    def note(self, milliseconds: int) -> None:
-        """Take one latency in."""
+    def record(self, milliseconds: int) -> None:
+        """Record one latency."""
         self._current.record_value(milliseconds)
-        if self._current.get_total_count() >= _ROTATE:
-            self._last = self._current
+        if self._current.get_total_count() >= _ROTATION_SAMPLES:
+            self._previous = self._current
             self._current = _make_histogram()
 
     def find_percentile(self, percentile: float) -> float | None:
-        """Return a percentile in seconds; none with few samples."""
-        used = self._current
-        if used.get_total_count() < _FEWEST and self._last is not None:
-            used = self._last
-        if used.get_total_count() < _FEWEST:
+        """Return a percentile in seconds; none with too few samples."""
+        selected = self._current
+        if (
+            selected.get_total_count() < _MIN_SAMPLES
+            and self._previous is not None
+        ):
+            selected = self._previous
+        if selected.get_total_count() < _MIN_SAMPLES:
             return None
-        return used.get_value_at_percentile(percentile) / 1000
+        return selected.get_value_at_percentile(percentile) / 1000
 
 
 def _make_histogram() -> histogram.HdrHistogram:
-    return histogram.HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _DIGITS)
+    return histogram.HdrHistogram(
+        _MIN_LATENCY_MS, _MAX_LATENCY_MS, _SIGNIFICANT_DIGITS
+    )
 
 
 @register('percentile')
 class PercentileHedging(Hedging):
-    """Hedges what takes longer than a high percentile."""
+    """Hedges requests that take longer than a high percentile."""
 
     def __init__(self, percentile: float = _PERCENTILE) -> None:
         self._percentile = percentile
-        self._latencies: collections.OrderedDict[str, _Latencies] = (
+        self._latencies: collections.OrderedDict[str, _LatencyWindow] = (
             collections.OrderedDict()
         )
 
     def note_latency(self, workload: str, seconds: float) -> None:
         """See ``Hedging.note_latency``."""
         if workload not in self._latencies:
-            self._latencies[workload] = _Latencies()
+            self._latencies[workload] = _LatencyWindow()
         self._latencies.move_to_end(workload)
-        milliseconds = max(round(seconds * 1000), _LOWEST_MS)
-        self._latencies[workload].note(milliseconds)
+        milliseconds = max(round(seconds * 1000), _MIN_LATENCY_MS)
+        self._latencies[workload].record(milliseconds)
         if len(self._latencies) > _MAX_WORKLOADS:
             self._latencies.popitem(last=False)
 
     def find_delay(self, workload: str) -> float | None:
         """See ``Hedging.find_delay``."""
-        found = self._latencies.get(workload)
-        return found and found.find_percentile(self._percentile)
+        latencies = self._latencies.get(workload)
+        return latencies and latencies.find_percentile(self._percentile)
 
 
 @register('never')
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -9,11 +9,11 @@
         super().setUp()
         self.commitments = admission.Commitments(CAPACITY)
 
-    def test_each_resource_alone_bounds_the_instance(self):
-        """Two entries pick one instance at once, and it is overcommitted.
+    def test_each_resource_limits_commitments(self):
+        """Two entries that choose one instance must not overcommit it.
 
-        Both chose from reports that were true a second ago; only the
-        sidecar's own check can refuse the second one.
+        Both choose from stale reports; only the sidecar's own check can
+        refuse the second commitment.
         """
         half = admission.Size(1.0, 1.0, 0)
         self.assertTrue(self.commitments.try_commit('a', half))
@@ -25,7 +25,7 @@
             self.assertFalse(self.commitments.try_commit('b', size), size)
         self.assertEqual(half, self.commitments.total)
 
-    def test_all_of_the_capacity_can_be_committed_and_given_back(self):
+    def test_full_capacity_can_be_committed_and_released(self):
         self.assertTrue(self.commitments.try_commit('a', CAPACITY))
         self.assertFalse(
             self.commitments.try_commit('b', admission.Size(0.1, 0.1, 0))
@@ -41,7 +41,7 @@
         self.assertEqual(9.0, self.commitments.total.cores)
 
     def test_tasks_leave_headroom_that_quick_requests_may_use(self):
-        """A wire-cut check waits behind builds that took every core."""
+        """Quick requests must not wait for batch work to release cores."""
         limit = admission.leave_headroom(CAPACITY)
         self.assertFalse(
             self.commitments.try_commit(
@@ -58,15 +58,19 @@
         quick = admission.Size(2.5, 1.0, 0)
         self.assertTrue(self.commitments.try_commit('request', quick))
 
-    def test_only_urgent_requests_may_take_the_last_part(self):
-        """Uploads take every core, and a line lead's check waits."""
-        common = admission.find_quick_limit(CAPACITY, urgent=False)
+    def test_only_urgent_requests_use_the_urgent_headroom(self):
+        """Urgent requests must not wait for other quick requests."""
+        quick_limit = admission.find_quick_limit(CAPACITY, urgent=False)
         self.assertTrue(
             self.commitments.try_commit(
-                'upload', admission.Size(15.2, 1.0, 0), common
+                'upload', admission.Size(15.2, 1.0, 0), quick_limit
             )
         )
-        more = admission.Size(0.5, 1.0, 0)
-        self.assertFalse(self.commitments.try_commit('other', more, common))
+        remainder = admission.Size(0.5, 1.0, 0)
+        self.assertFalse(
+            self.commitments.try_commit('other', remainder, quick_limit)
+        )
         urgent = admission.find_quick_limit(CAPACITY, urgent=True)
-        self.assertTrue(self.commitments.try_commit('check', more, urgent))
+        self.assertTrue(
+            self.commitments.try_commit('check', remainder, urgent)
+        )
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -3,7 +3,7 @@
 from tests import base
 
 
-def report(name: str = 'one', **fields) -> control_pb2.SidecarReport:
+def make_report(name: str = 'one', **fields) -> control_pb2.SidecarReport:
     values = {
         'instance': name,
         'incarnation': 'first',
@@ -15,38 +15,38 @@
 
 
 class FleetTest(base.TestCase):
-    def test_requests_in_flight_are_counted_off_after_a_report(self):
-        """An instance gets ever less work from one entry.
+    def test_requests_in_flight_are_decremented_after_a_report(self):
+        """An instance must not get ever less work from one entry.
 
-        A report arrives while a request is in flight. The request must
-        count itself off on what the entry goes on looking at.
+        When a report arrives while a request is in flight, the request
+        must decrement the counter that the entry goes on reading.
         """
-        known = fleet.Fleet(60)
-        instance = known.note_report(report())
+        instances = fleet.Fleet(60)
+        instance = instances.note_report(make_report())
         instance.outstanding += 1
-        known.note_report(report(clock_ms=2000))
+        instances.note_report(make_report(clock_ms=2000))
         instance.outstanding -= 1
-        self.assertEqual(0, known.find('one').outstanding)
+        self.assertEqual(0, instances.find('one').outstanding)
 
     def test_late_report_or_reply_changes_nothing(self):
-        known = fleet.Fleet(60)
-        known.note_report(report(clock_ms=2000, leaving=True))
-        known.note_report(report(clock_ms=1000, leaving=False))
-        self.assertTrue(known.find('one').leaving)
-        late = control_pb2.ExecuteReply(clock_ms=9000)
-        known.note_reply('one', 'before', late)
-        self.assertEqual(2000, known.find('one').clock_ms)
-
-    def test_leaving_backend_server_keeps_its_instance_for_tasks(self):
-        known = fleet.Fleet(60)
-        known.note_report(report(backend_leaving=True))
-        self.assertEqual([], known.list_live('planning'))
-        self.assertEqual(1, len(known.list_live()))
-
-    def test_long_silent_instance_is_forgotten(self):
-        known = fleet.Fleet(0.0, forget=0.0)
-        known.note_report(report('gone'))
-        known.note_report(report('busy')).outstanding = 1
-        known.note_report(report('here'))
-        names = [instance.name for instance in known.list_all()]
+        instances = fleet.Fleet(60)
+        instances.note_report(make_report(clock_ms=2000, leaving=True))
+        instances.note_report(make_report(clock_ms=1000, leaving=False))
+        self.assertTrue(instances.find('one').leaving)
+        late_reply = control_pb2.ExecuteReply(clock_ms=9000)
+        instances.note_reply('one', 'before', late_reply)
+        self.assertEqual(2000, instances.find('one').clock_ms)
+
+    def test_instance_of_a_leaving_backend_server_gets_tasks(self):
+        instances = fleet.Fleet(60)
+        instances.note_report(make_report(backend_leaving=True))
+        self.assertEqual([], instances.list_live('planning'))
+        self.assertEqual(1, len(instances.list_live()))
+
+    def test_instance_without_reports_is_removed(self):
+        instances = fleet.Fleet(0.0, retention=0.0)
+        instances.note_report(make_report('gone'))
+        instances.note_report(make_report('busy')).outstanding = 1
+        instances.note_report(make_report('here'))
+        names = [instance.name for instance in instances.list_all()]
         self.assertEqual(['busy', 'here'], names)
--- a/tools/guards_ledger.py
+++ b/tools/guards_ledger.py
@@ -58,7 +58,7 @@
         'headroom',
         'I1',
         'src/persimmonsail/decisions/admission.py',
-        'return _leave(capacity, HEADROOM)',
+        'return _reduce(capacity, TASK_HEADROOM)',
         'return capacity',
         ('tests/decisions/test_admission.py',),
     ),
