--- a/src/persimmonsail/decisions/interference.py
+++ b/src/persimmonsail/decisions/interference.py
@@ -1,4 +1,4 @@
-"""How much batch work slows latency-critical work, learnt on line.
+"""Online estimation of how batch work slows latency-critical work.
 
 For each latency-critical class (the victim) the mean service time is
 fitted to the shares of an instance's cores that each batch class (an
@@ -6,47 +6,48 @@
 
     seconds = base * (1 + sum of coefficient[aggressor] * share)
 
-The fit is a least-squares regression whose sums are forgotten
-exponentially, with coefficients that cannot fall below zero. It shrinks
-towards a prior where samples are few, and each band of load has a fit
-of its own that shrinks towards the fit over all loads.
+The fit is a least-squares regression with exponentially decayed sums
+and non-negative coefficients. It shrinks towards a prior where samples
+are few. Each load band has its own fit, which shrinks towards the fit
+over all loads.
 """
 
 import bisect
 import dataclasses
 import typing as t
 
-HALF_LIFE = 120.0
+HALF_LIFE_SECONDS = 120.0
 PRIOR_COEFFICIENT = 0.5
 
-# The weight of the prior, as requests seen beside a share of cores.
+# The weight of the prior, as a number of requests observed while a class
+# used this share of the cores.
 _PRIOR_REQUESTS = 60.0
 _PRIOR_SHARE = 0.1
 _MAX_WEIGHT = 100.0
-_SWEEPS = 12
-_TINY = 1e-9
-_BANDS = (0.5, 0.75)
-_BASE = ''
-
-# The spread of one request's service time, as a part of its mean.
-_NOISE = 0.5
-_MAX_ERROR = 100.0
-_SHORT_MEMORY = 8.0
-_USUAL_MEMORY = 300.0
-_SHIFT_FACTOR = 4.0
-_MIN_SEEN = 60
-_SHIFT_KEPT = 0.02
-_UNKNOWN: t.Mapping[str, float] = {}
+_SOLVER_ITERATIONS = 12
+_EPSILON = 1e-9
+_LOAD_BANDS = (0.5, 0.75)
+_INTERCEPT = ''
+
+# Coefficient of variation of one request's service time.
+_SERVICE_TIME_CV = 0.5
+_MAX_SQUARED_ERROR = 100.0
+_SHORT_AVERAGE_SAMPLES = 8.0
+_LONG_AVERAGE_SAMPLES = 300.0
+_SHIFT_ERROR_FACTOR = 4.0
+_MIN_SHIFT_SAMPLES = 60
+_SHIFT_RETAINED_FRACTION = 0.02
+_NO_COEFFICIENTS: t.Mapping[str, float] = {}
 
 
 @dataclasses.dataclass(frozen=True)
 class Sample:
-    """One class's mean service time in one window, and who ran then.
+    """One class's mean service time in one window, with colocated work.
 
     ``seconds`` is the mean over ``count`` requests, ``shares`` has the
-    part of the cores used by each batch class, ``busy`` the busy part
-    of the slots, and ``measured_at`` the window's end on the learner's
-    clock.
+    fraction of the cores used by each batch class, ``busy`` is the busy
+    fraction of the slots, and ``measured_at`` the window's end on the
+    learner's clock.
     """
 
     victim: str
@@ -59,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Term:
-    """What one aggressor adds to a slowdown."""
+    """The contribution of one aggressor to a slowdown."""
 
     aggressor: str
     share: float
@@ -67,13 +68,13 @@
 
     @property
     def excess(self) -> float:
-        """The added slowdown, as a part of the undisturbed time."""
+        """The added time, as a fraction of the undisturbed time."""
         return self.coefficient * self.share
 
 
 @dataclasses.dataclass(frozen=True)
 class Estimate:
-    """A predicted slowdown with the terms that it is the sum of."""
+    """A predicted slowdown and the terms that it is the sum of."""
 
     victim: str
     slowdown: float
@@ -87,8 +88,8 @@
         )
 
 
-class _Fit:
-    """Decayed sums of a weighted regression without an explicit list."""
+class _Regression:
+    """Weighted regression from decayed sums, without stored samples."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
@@ -100,120 +101,132 @@
         self, features: t.Mapping[str, float], target: float, weight: float
     ) -> None:
         self.names.update(features)
-        for one, left in features.items():
-            self._targets[one] = (
-                self._targets.get(one, 0.0) + weight * left * target
+        for row, row_value in features.items():
+            self._targets[row] = (
+                self._targets.get(row, 0.0) + weight * row_value * target
             )
-            for other, right in features.items():
-                key = (one, other)
+            for column, column_value in features.items():
+                key = (row, column)
                 self._products[key] = (
-                    self._products.get(key, 0.0) + weight * left * right
+                    self._products.get(key, 0.0)
+                    + weight * row_value * column_value
                 )
 
-    def forget(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         for key in self._products:
             self._products[key] *= factor
         for name in self._targets:
             self._targets[name] *= factor
 
     def solve(self, priors: t.Mapping[str, float], strength: float) -> None:
-        """Minimize the error by coordinate descent, no value below 0."""
+        """Minimize the error by coordinate descent, with values >= 0."""
         names = sorted(self.names)
-        for _ in range(_SWEEPS):
+        for _ in range(_SOLVER_ITERATIONS):
             for name in names:
-                self.values[name] = self._minimize(
+                self.values[name] = self._minimize_coordinate(
                     name, priors.get(name), strength
                 )
 
-    def _minimize(
+    def _minimize_coordinate(
         self, name: str, prior: float | None, strength: float
     ) -> float:
         others = sum(
-            self._products.get((name, other), 0.0) * value
-            for other, value in self.values.items()
-            if other != name
+            self._products.get((name, column), 0.0) * value
+            for column, value in self.values.items()
+            if column != name
         )
-        above = self._targets.get(name, 0.0) - others
-        below = self._products.get((name, name), 0.0)
+        numerator = self._targets.get(name, 0.0) - others
+        denominator = self._products.get((name, name), 0.0)
         if prior is not None:
-            above += strength * prior
-            below += strength
-        return max(0.0, above / below) if below > _TINY else 0.0
+            numerator += strength * prior
+            denominator += strength
+        return (
+            max(0.0, numerator / denominator)
+            if denominator > _EPSILON
+            else 0.0
+        )
 
 
 class _ShiftDetector:
-    """Tells a shift of interference from noise by the errors' size.
+    """Distinguishes shifts of interference from noise by error size.
 
-    Errors are measured in units of what noise alone would give. A fit
-    that is never exact has large errors all the time; only errors much
-    larger than the usual ones are a shift.
+    Prediction errors are normalized by the error expected from noise
+    alone. An inexact fit has large errors all the time, so only errors
+    much larger than their long-term average count as a shift.
     """
 
     def __init__(self) -> None:
-        self._short = 1.0
-        self._usual = 1.0
-        self._seen = 0
+        self._short_average = 1.0
+        self._long_average = 1.0
+        self._sample_count = 0
 
-    def note(self, predicted: float, seconds: float, weight: float) -> bool:
-        """Take one error in; return whether a shift has shown."""
+    def record(self, predicted: float, seconds: float, weight: float) -> bool:
+        """Record one error and return whether a shift is detected."""
         if predicted <= 0:
             return False
         error = (seconds - predicted) / predicted
-        squared = error * error * weight / _NOISE**2
-        squared = min(squared, _MAX_ERROR)
-        self._seen += 1
-        self._short += (squared - self._short) / _SHORT_MEMORY
-        limit = _SHIFT_FACTOR * max(1.0, self._usual)
-        if self._seen >= _MIN_SEEN and self._short > limit:
-            self._seen = 0
-            self._short = self._usual
+        squared = error * error * weight / _SERVICE_TIME_CV**2
+        squared = min(squared, _MAX_SQUARED_ERROR)
+        self._sample_count += 1
+        self._short_average += (
+            squared - self._short_average
+        ) / _SHORT_AVERAGE_SAMPLES
+        limit = _SHIFT_ERROR_FACTOR * max(1.0, self._long_average)
+        if (
+            self._sample_count >= _MIN_SHIFT_SAMPLES
+            and self._short_average > limit
+        ):
+            self._sample_count = 0
+            self._short_average = self._long_average
             return True
-        self._usual += (squared - self._usual) / _USUAL_MEMORY
+        self._long_average += (
+            squared - self._long_average
+        ) / _LONG_AVERAGE_SAMPLES
         return False
 
 
-class _Victim:
-    """The fits of one latency-critical class: all loads, and by band."""
+class _VictimModel:
+    """Fits of one latency-critical class, over all loads and by band."""
 
     def __init__(self) -> None:
-        self.overall = _Fit()
-        self.bands = [_Fit() for _ in range(len(_BANDS) + 1)]
+        self.overall = _Regression()
+        self.bands = [_Regression() for _ in range(len(_LOAD_BANDS) + 1)]
         self.base = 0.0
         self.coefficients: list[dict[str, float]] = [{} for _ in self.bands]
-        self.changed = False
-        self.forgotten_at: float | None = None
+        self.is_stale = False
+        self.decayed_at: float | None = None
         self.detector = _ShiftDetector()
 
-    def drop(self) -> None:
-        """Keep next to nothing of what was learnt before a shift."""
-        self.overall.forget(_SHIFT_KEPT)
+    def discard_history(self) -> None:
+        """Discard nearly all of the state learned before a shift."""
+        self.overall.decay(_SHIFT_RETAINED_FRACTION)
         for band in self.bands:
-            band.forget(_SHIFT_KEPT)
+            band.decay(_SHIFT_RETAINED_FRACTION)
 
-    def forget(self, now: float, half_life: float) -> None:
-        if self.forgotten_at is not None and now > self.forgotten_at:
-            factor = 0.5 ** ((now - self.forgotten_at) / half_life)
-            self.overall.forget(factor)
+    def decay(self, now: float, half_life: float) -> None:
+        if self.decayed_at is not None and now > self.decayed_at:
+            factor = 0.5 ** ((now - self.decayed_at) / half_life)
+            self.overall.decay(factor)
             for band in self.bands:
-                band.forget(factor)
-        self.forgotten_at = max(now, self.forgotten_at or now)
+                band.decay(factor)
+        self.decayed_at = max(now, self.decayed_at or now)
 
     def solve(self) -> None:
-        self.changed = False
+        self.is_stale = False
         strength = _PRIOR_REQUESTS * _PRIOR_SHARE**2
-        before = self.base or self.overall.values.get(_BASE, 0.0)
-        prior = PRIOR_COEFFICIENT * before
+        previous_base = self.base or self.overall.values.get(_INTERCEPT, 0.0)
+        prior = PRIOR_COEFFICIENT * previous_base
         priors = {name: prior for name in self.overall.names if name}
         self.overall.solve(priors, strength)
-        self.base = self.overall.values.get(_BASE, 0.0)
+        self.base = self.overall.values.get(_INTERCEPT, 0.0)
         for band in self.bands:
-            # A band's samples are too alike to tell base from slope.
-            band.values[_BASE] = self.base
-            band.names.discard(_BASE)
+            # A band's samples vary too little to separate base and slope.
+            band.values[_INTERCEPT] = self.base
+            band.names.discard(_INTERCEPT)
             band.solve(self.overall.values, strength)
         self.coefficients = [self._scale(band) for band in self.bands]
 
-    def _scale(self, band: _Fit) -> dict[str, float]:
+    def _scale(self, band: _Regression) -> dict[str, float]:
         if self.base <= 0:
             return {}
         values = {**self.overall.values, **band.values}
@@ -223,58 +236,60 @@
 
 
 class Estimator:
-    """Predicts slowdowns from what was learnt so far.
+    """Predicts slowdowns from the samples learned so far.
 
     Parameters
     ----------
     half_life : float, optional
-        Seconds after which a sample counts for half.
+        Seconds after which a sample's weight has halved.
 
-    ``shifts`` counts how often errors have grown so suddenly that what
-    was learnt before is dropped.
+    ``shift_count`` is how often a sudden growth of errors has led to
+    discarding the learned state.
     """
 
-    def __init__(self, half_life: float = HALF_LIFE) -> None:
+    def __init__(self, half_life: float = HALF_LIFE_SECONDS) -> None:
         self._half_life = half_life
-        self._victims: dict[str, _Victim] = {}
-        self.shifts = 0
+        self._models: dict[str, _VictimModel] = {}
+        self.shift_count = 0
 
     def learn(self, sample: Sample) -> None:
-        """Take one joined measurement in, however late it comes."""
+        """Learn from one joined measurement, however late it arrives."""
         if sample.count <= 0 or sample.seconds <= 0:
             return
-        victim = self._victims.setdefault(sample.victim, _Victim())
-        victim.forget(sample.measured_at, self._half_life)
+        model = self._models.setdefault(sample.victim, _VictimModel())
+        model.decay(sample.measured_at, self._half_life)
         weight = min(float(sample.count), _MAX_WEIGHT)
-        predicted = victim.base * self.predict(
+        predicted = model.base * self.predict(
             sample.victim, sample.shares, sample.busy
         )
-        if victim.detector.note(predicted, sample.seconds, weight):
-            victim.drop()
-            self.shifts += 1
-        features = {name: s for name, s in sample.shares.items() if s > 0}
-        features[_BASE] = 1.0
-        victim.overall.add(features, sample.seconds, weight)
-        band = victim.bands[find_band(sample.busy)]
+        if model.detector.record(predicted, sample.seconds, weight):
+            model.discard_history()
+            self.shift_count += 1
+        features = {
+            name: share for name, share in sample.shares.items() if share > 0
+        }
+        features[_INTERCEPT] = 1.0
+        model.overall.add(features, sample.seconds, weight)
+        band = model.bands[find_load_band(sample.busy)]
         band.add(features, sample.seconds, weight)
-        victim.changed = True
+        model.is_stale = True
 
     def find_base(self, victim: str, default: float = 0.0) -> float:
         """Return a class's undisturbed mean service time in seconds."""
-        found = self._find(victim)
-        return found.base if found and found.base > 0 else default
+        model = self._find_model(victim)
+        return model.base if model and model.base > 0 else default
 
     def find_coefficient(
         self, victim: str, aggressor: str, busy: float
     ) -> float:
-        """Return the slowdown by the whole of an instance's cores."""
+        """Return the added slowdown if all of the cores were used."""
         coefficients = self._find_coefficients(victim, busy)
         return coefficients.get(aggressor, PRIOR_COEFFICIENT)
 
     def predict(
         self, victim: str, shares: t.Mapping[str, float], busy: float
     ) -> float:
-        """Return the factor on a class's service time."""
+        """Return the predicted factor on a class's service time."""
         coefficients = self._find_coefficients(victim, busy)
         slowdown = 1.0
         for name, share in shares.items():
@@ -284,7 +299,7 @@
     def explain(
         self, victim: str, shares: t.Mapping[str, float], busy: float
     ) -> Estimate:
-        """Return a prediction with its terms, the largest first."""
+        """Return a prediction with its terms in descending order."""
         terms = [
             Term(name, share, self.find_coefficient(victim, name, busy))
             for name, share in shares.items()
@@ -296,16 +311,20 @@
     def _find_coefficients(
         self, victim: str, busy: float
     ) -> t.Mapping[str, float]:
-        found = self._find(victim)
-        return found.coefficients[find_band(busy)] if found else _UNKNOWN
+        model = self._find_model(victim)
+        return (
+            model.coefficients[find_load_band(busy)]
+            if model
+            else _NO_COEFFICIENTS
+        )
 
-    def _find(self, victim: str) -> _Victim | None:
-        found = self._victims.get(victim)
-        if found is not None and found.changed:
-            found.solve()
-        return found
+    def _find_model(self, victim: str) -> _VictimModel | None:
+        model = self._models.get(victim)
+        if model is not None and model.is_stale:
+            model.solve()
+        return model
 
 
-def find_band(busy: float) -> int:
-    """Return the number of the load's band."""
-    return bisect.bisect_right(_BANDS, busy)
+def find_load_band(busy: float) -> int:
+    """Return the index of a load's band."""
+    return bisect.bisect_right(_LOAD_BANDS, busy)
--- a/src/persimmonsail/decisions/learning.py
+++ b/src/persimmonsail/decisions/learning.py
@@ -1,9 +1,9 @@
-"""Sizes and run times learnt from what tasks really use.
+"""Sizes and run times of tasks, learned from their actual usage.
 
-Declared sizes and run times are often far off. What is learnt is used
-to estimate backlogs and to commit less or more than was declared; it
-never commits an instance beyond its capacity, because the commitment is
-checked by the sidecar like any other.
+Declared sizes and run times are often far off. Learned values are used
+to estimate backlogs and to commit less or more than was declared. They
+never overcommit an instance, because the sidecar checks these
+commitments like any other.
 """
 
 import dataclasses
@@ -13,24 +13,25 @@
 
 from persimmonsail.decisions import admission
 
-# A larger size is taken from this many reports on: too small a size
-# overloads the instance at once.
-GROW_SAMPLES = 3
-# A smaller size needs more: it gives the declared room to others.
-SHRINK_SAMPLES = 20
-# Processors yield, so rare peaks may pass; memory does not.
+# Reports needed to commit more than declared; few, because too small a
+# size overloads the instance immediately.
+MIN_GROW_SAMPLES = 3
+# Reports needed to commit less than declared; more, because it gives the
+# declared capacity to others.
+MIN_SHRINK_SAMPLES = 20
+# Processors are compressible, so rare peaks are tolerable; memory is not.
 CORES_PERCENTILE = 95
 CORES_MARGIN = 1.1
 MEMORY_MARGIN = 1.25
-# However little was seen, this part of the declared size is kept.
-LEAST_PART = 0.1
+# At least this fraction of the declared size is committed.
+MIN_DECLARED_FRACTION = 0.1
 
-_DIGITS = 1
-_HIGHEST = 10_000_000
-_CENTI = 100
-_MILLI = 1000
-# So many values fill a window; the one before it still counts.
-_WINDOW = 256
+_SIGNIFICANT_DIGITS = 1
+_MAX_STEPS = 10_000_000
+_STEPS_PER_UNIT = 100
+_STEPS_PER_SECOND = 1000
+# Values in a window; the previous window still counts.
+_WINDOW_SAMPLES = 256
 
 
 class Quantiles:
@@ -39,15 +40,15 @@
     Parameters
     ----------
     scale : int
-        Steps to a unit; values are kept to about a twentieth.
+        Steps per unit; values are accurate to about a twentieth.
     """
 
-    def __init__(self, scale: int, window: int = _WINDOW) -> None:
+    def __init__(self, scale: int, window: int = _WINDOW_SAMPLES) -> None:
         self._scale = scale
         self._window = window
-        self._current = self._make()
-        self._previous = self._make()
-        self._found: dict[float, float] = {}
+        self._current = self._make_histogram()
+        self._previous = self._make_histogram()
+        self._cache: dict[float, float] = {}
 
     def __len__(self) -> int:
         return (
@@ -55,32 +56,35 @@
         )
 
     def add(self, value: float) -> None:
-        """Take a value in; old windows drop out, so a shift shows."""
+        """Add a value; the oldest window expires, so that shifts show."""
         if self._current.get_total_count() >= self._window:
-            self._previous, self._current = self._current, self._make()
-        self._found.clear()
+            self._previous, self._current = (
+                self._current,
+                self._make_histogram(),
+            )
+        self._cache.clear()
         steps = round(value * self._scale)
-        self._current.record_value(min(max(steps, 1), _HIGHEST))
+        self._current.record_value(min(max(steps, 1), _MAX_STEPS))
 
     def find(self, percentile: float) -> float:
         """Return a percentile; zero if there is no value."""
         if not len(self):
             return 0.0
-        if percentile not in self._found:
-            merged = self._make()
+        if percentile not in self._cache:
+            merged = self._make_histogram()
             merged.add(self._previous)
             merged.add(self._current)
             steps = merged.get_value_at_percentile(percentile)
-            self._found[percentile] = steps / self._scale
-        return self._found[percentile]
+            self._cache[percentile] = steps / self._scale
+        return self._cache[percentile]
 
-    def _make(self) -> histogram.HdrHistogram:
-        return histogram.HdrHistogram(1, _HIGHEST, _DIGITS)
+    def _make_histogram(self) -> histogram.HdrHistogram:
+        return histogram.HdrHistogram(1, _MAX_STEPS, _SIGNIFICANT_DIGITS)
 
 
 @dataclasses.dataclass(frozen=True)
 class Estimate:
-    """A size to commit, and where it comes from.
+    """A size to commit and its source.
 
     ``source`` is ``declared``, ``grown``, ``shrunk`` or ``clamped``.
     """
@@ -90,18 +94,18 @@
     samples: int
 
 
-class _Workload:
+class _WorkloadHistory:
     def __init__(self) -> None:
-        self.cores = Quantiles(_CENTI)
-        self.memory_gb = Quantiles(_CENTI)
-        self.seconds = Quantiles(_MILLI)
+        self.cores = Quantiles(_STEPS_PER_UNIT)
+        self.memory_gb = Quantiles(_STEPS_PER_UNIT)
+        self.seconds = Quantiles(_STEPS_PER_SECOND)
 
 
 POLICIES: dict[str, type['Learner']] = {}
 
 
 def register(name: str) -> t.Callable[[type], type]:
-    """Add a kind of learner under a name."""
+    """Add a learner class under a name."""
 
     def add(kind: type) -> type:
         POLICIES[name] = kind
@@ -112,32 +116,32 @@
 
 @register('quantiles')
 class Learner:
-    """What this process learnt of each workload."""
+    """Usage and run times of each workload, learned by this process."""
 
     def __init__(self) -> None:
-        self._workloads: dict[str, _Workload] = {}
+        self._workloads: dict[str, _WorkloadHistory] = {}
 
     def note_usage(self, name: str, cores: float, memory_gb: float) -> None:
-        """Take in what one task of a workload used."""
-        found = self._find(name)
-        found.cores.add(cores)
-        found.memory_gb.add(memory_gb)
+        """Record what one task of a workload used."""
+        history = self._get_history(name)
+        history.cores.add(cores)
+        history.memory_gb.add(memory_gb)
 
     def note_run(self, name: str, seconds: float) -> None:
-        """Take in how long one task of a workload ran to its end."""
-        self._find(name).seconds.add(seconds)
+        """Record how long one task of a workload ran to completion."""
+        self._get_history(name).seconds.add(seconds)
 
     def estimate_seconds(
         self, name: str, percentile: float, default: float
     ) -> float:
         """Return a percentile of run times, or the default if unknown."""
-        found = self._workloads.get(name)
-        if found is None or not len(found.seconds):
+        history = self._workloads.get(name)
+        if history is None or not len(history.seconds):
             return default
-        return found.seconds.find(percentile)
+        return history.seconds.find(percentile)
 
     def estimate_size(
-        self, name: str, declared: admission.Size, largest: admission.Size
+        self, name: str, declared: admission.Size, max_size: admission.Size
     ) -> Estimate:
         """Return the size to commit for a task.
 
@@ -146,55 +150,55 @@
         name : str
             The workload.
         declared : admission.Size
-            What the catalogue says.
-        largest : admission.Size
-            The most that tasks may take on any known instance. What was
-            learnt never makes a task unplaceable that fits as declared.
+            The size that the catalogue declares.
+        max_size : admission.Size
+            The most that tasks may use on any known instance. A learned
+            size never makes a task unplaceable that fits as declared.
         """
-        found = self._workloads.get(name)
-        samples = len(found.cores) if found else 0
-        if found is None or samples < GROW_SAMPLES:
+        history = self._workloads.get(name)
+        samples = len(history.cores) if history else 0
+        if history is None or samples < MIN_GROW_SAMPLES:
             return Estimate(declared, 'declared', samples)
-        cores = found.cores.find(CORES_PERCENTILE) * CORES_MARGIN
-        memory_gb = found.memory_gb.find(100) * MEMORY_MARGIN
+        cores = history.cores.find(CORES_PERCENTILE) * CORES_MARGIN
+        memory_gb = history.memory_gb.find(100) * MEMORY_MARGIN
         size = admission.Size(
             _bound(cores, declared.cores, samples),
             _bound(memory_gb, declared.memory_gb, samples),
             declared.accelerators,
         )
-        return _clamp(size, declared, largest, samples)
+        return _clamp(size, declared, max_size, samples)
 
-    def _find(self, name: str) -> _Workload:
-        return self._workloads.setdefault(name, _Workload())
+    def _get_history(self, name: str) -> _WorkloadHistory:
+        return self._workloads.setdefault(name, _WorkloadHistory())
 
 
 @register('declared')
-class TrustingLearner(Learner):
-    """Takes every size as declared; the baseline."""
+class DeclaredLearner(Learner):
+    """Uses every size as declared; the baseline."""
 
     def estimate_size(
-        self, name: str, declared: admission.Size, largest: admission.Size
+        self, name: str, declared: admission.Size, max_size: admission.Size
     ) -> Estimate:
         """Return the declared size."""
         return Estimate(declared, 'declared', 0)
 
 
-def _bound(learnt: float, declared: float, samples: int) -> float:
-    if learnt < declared and samples < SHRINK_SAMPLES:
+def _bound(learned: float, declared: float, samples: int) -> float:
+    if learned < declared and samples < MIN_SHRINK_SAMPLES:
         return declared
-    return max(learnt, declared * LEAST_PART)
+    return max(learned, declared * MIN_DECLARED_FRACTION)
 
 
 def _clamp(
     size: admission.Size,
     declared: admission.Size,
-    largest: admission.Size,
+    max_size: admission.Size,
     samples: int,
 ) -> Estimate:
-    if not size.fits(largest) and declared.fits(largest):
+    if not size.fits(max_size) and declared.fits(max_size):
         clamped = admission.Size(
-            min(size.cores, largest.cores),
-            min(size.memory_gb, largest.memory_gb),
+            min(size.cores, max_size.cores),
+            min(size.memory_gb, max_size.memory_gb),
             declared.accelerators,
         )
         return Estimate(clamped, 'clamped', samples)
--- a/src/persimmonsail/decisions/objectives.py
+++ b/src/persimmonsail/decisions/objectives.py
@@ -1,4 +1,4 @@
-"""What an owner's objective means for placement and for the ladder."""
+"""Weights of owners' objectives in placement and in the ladder."""
 
 import dataclasses
 import typing as t
@@ -11,12 +11,13 @@
 class Weights:
     """How an owner weighs tail latency against batch throughput.
 
-    ``tail`` scales the cost of slowing latency-critical work. A class
-    is acted for when its predicted slowdown is above ``throttle_above``
-    or ``evict_above``, and left alone again below ``release_below``;
-    the gap between them is the hysteresis. ``slowest_speed`` bounds how
-    far a task is throttled. Batch work waits rather than being placed
-    at a cost above ``hold_above``, for at most ``hold_seconds``.
+    ``tail`` scales the cost of slowing latency-critical work. Tasks are
+    throttled or evicted when the predicted slowdown of a class is above
+    ``throttle_above`` or ``evict_above``, and released below
+    ``release_below``; the gap between them is the hysteresis.
+    ``slowest_speed`` is the lowest speed of a throttled task. Batch work
+    is held for at most ``hold_seconds`` rather than placed at a cost
+    above ``hold_above``.
     """
 
     tail: float
@@ -56,8 +57,8 @@
     Parameters
     ----------
     find_objective : callable
-        Returns a workload's objective, or none for an unknown one,
-        which is then weighed by its tail latency.
+        Returns a workload's objective, or none for an unknown workload,
+        which then gets the weights for tail latency.
     """
 
     def __init__(
@@ -67,24 +68,26 @@
 
     def find_weights(self, workload: str) -> Weights:
         """Return the weights of a workload's owner."""
-        found = self._find_objective(workload)
-        return WEIGHTS[found or catalogue.Objective.TAIL_LATENCY]
+        objective = self._find_objective(workload)
+        return WEIGHTS[objective or catalogue.Objective.TAIL_LATENCY]
 
 
 def find_objective(
-    found: catalogue.Catalogue, workload: str
+    definitions: catalogue.Catalogue, workload: str
 ) -> catalogue.Objective | None:
-    """Return the objective of a workload's owner by the catalogue."""
-    limits = found.workloads.get(workload)
-    team = found.teams.get(limits.owner) if limits else None
+    """Return the objective that the catalogue gives a workload's owner."""
+    limits = definitions.workloads.get(workload)
+    team = definitions.teams.get(limits.owner) if limits else None
     return team.objective if team else None
 
 
 def fill_notice(
-    notice: control_pb2.EntryNotice, found: catalogue.Catalogue, service: str
+    notice: control_pb2.EntryNotice,
+    definitions: catalogue.Catalogue,
+    service: str,
 ) -> None:
-    """Tell a sidecar the objectives of what its service answers."""
-    for name, limits in found.workloads.items():
-        objective = find_objective(found, name)
+    """Add the objectives of a service's workloads to a notice."""
+    for name, limits in definitions.workloads.items():
+        objective = find_objective(definitions, name)
         if limits.service == service and objective:
             notice.objectives.add(workload=name, objective=objective)
--- a/src/persimmonsail/decisions/placement.py
+++ b/src/persimmonsail/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Choice of the instance that a task is claimed for."""
+"""Choice of the instance on which a task is placed."""
 
 import collections
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Need:
-    """What a task asks of the instance it is placed on."""
+    """The requirements of a task on the instance it is placed on."""
 
     workload: str
     size: admission.Size
@@ -53,14 +53,15 @@
     def describe(self) -> str:
         """Return the terms for a decision's log line."""
         names = ('interference', 'crowding', 'spread', 'queue', 'age')
-        return ','.join(f'{n}:{getattr(self, n):.3f}' for n in names)
+        return ','.join(f'{name}:{getattr(self, name):.3f}' for name in names)
 
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """A chosen instance, or why the task waits instead.
+    """A chosen instance, or the reason why the task waits.
 
-    ``is_costly`` marks a cost at which tasks are held back for a while.
+    ``fitting`` is the number of instances that fit the task.
+    ``is_costly`` marks a cost that is high enough to hold tasks.
     """
 
     cost: Cost | None
@@ -77,7 +78,7 @@
 def list_fitting(
     candidates: t.Iterable[fleet.Instance], size: admission.Size
 ) -> list[fleet.Instance]:
-    """Return the candidates that have room beside the headroom."""
+    """Return the candidates that fit a size and keep the headroom free."""
     return [
         instance
         for instance in candidates
@@ -90,7 +91,7 @@
 def choose_instance(
     candidates: list[fleet.Instance], size: admission.Size
 ) -> fleet.Instance | None:
-    """Return the candidate with the most room left, if any fits."""
+    """Return the fitting candidate with the lowest share of cores taken."""
     fitting = list_fitting(candidates, size)
     if not fitting:
         return None
@@ -98,16 +99,16 @@
 
 
 class Placer:
-    """Scores instances for tasks by what their neighbours would pay.
+    """Scores instances for tasks by the interference they would cause.
 
     Parameters
     ----------
-    estimator : persimmonsail.interference.Estimator
+    estimator : persimmonsail.decisions.interference.Estimator
         Predicts slowdowns.
-    weights : persimmonsail.objectives.Objectives
+    weights : persimmonsail.decisions.objectives.Objectives
         The owners' objectives.
     clock : callable
-        Returns monotonic seconds, as the instances' reports have them.
+        Returns monotonic seconds, on the clock of ``reported_at``.
     """
 
     def __init__(
@@ -138,12 +139,12 @@
             self._find_cost(instance, need, racks, zones)
             for instance in fitting
         ]
-        best = min(costs, key=_rank)
+        best = min(costs, key=_get_sort_key)
         weights = self._objectives.find_weights(need.workload)
-        costly = best.interference > weights.hold_above
-        held = costly and need.waited < weights.hold_seconds
-        reason = 'interference' if held else ''
-        return Choice(best, reason, len(fitting), costly)
+        is_costly = best.interference > weights.hold_above
+        is_held = is_costly and need.waited < weights.hold_seconds
+        reason = 'interference' if is_held else ''
+        return Choice(best, reason, len(fitting), is_costly)
 
     def choose_task(
         self,
@@ -153,10 +154,9 @@
     ) -> fleet.Instance | None:
         """Return the instance for a task's next attempt, if any.
 
-        All tasks of a workload are held back for the same while. The
-        decision is logged with its terms. The instance's view is
-        changed at once, since its next report comes after the next
-        decisions.
+        All tasks of a workload share one hold period. The decision is
+        logged with its terms. The entry's view of the instance is updated
+        immediately, since further decisions precede its next report.
         """
         now = self._clock()
         waited = now - self._held_since.get(task.workload, now)
@@ -178,11 +178,11 @@
     def find_interference(
         self, instance: fleet.Instance, workload: str, share: float
     ) -> float:
-        """Return what the instance's requests would pay for a task.
+        """Return the cost of a task to the instance's requests.
 
-        The unit is slots: the extra slots that the present requests
-        would keep busy, as a part of all slots, weighed by the owners
-        of the requests.
+        This is the additional fraction of the slots that the present
+        requests would keep busy, weighted by the objectives of their
+        owners.
         """
         before = instance.shares
         after = {**before, workload: before.get(workload, 0.0) + share}
@@ -220,8 +220,8 @@
         )
 
 
-def _rank(cost: Cost) -> tuple[float, float]:
-    """Order by cost; of equals, the instance with most room is first."""
+def _get_sort_key(cost: Cost) -> tuple[float, float]:
+    """Sort by cost, then by the share of cores taken."""
     instance = cost.instance
     return cost.total, instance.committed.cores / instance.capacity.cores
 
@@ -240,12 +240,12 @@
 
 
 def _sum_shares(
-    candidates: t.Iterable[fleet.Instance], workload: str, place: str
+    candidates: t.Iterable[fleet.Instance], workload: str, domain: str
 ) -> dict[str, float]:
-    """Return which part of a workload's use is in each rack or zone."""
+    """Return each rack's or zone's fraction of a workload's usage."""
     sums: dict[str, float] = collections.defaultdict(float)
     for instance in candidates:
-        sums[getattr(instance, place)] += instance.shares.get(workload, 0.0)
+        sums[getattr(instance, domain)] += instance.shares.get(workload, 0.0)
     total = sum(sums.values())
     return {
         key: value / total if total else 0.0 for key, value in sums.items()
--- a/src/persimmonsail/decisions/planner.py
+++ b/src/persimmonsail/decisions/planner.py
@@ -1,8 +1,8 @@
-"""Which pending tasks of a partition are placed next, and where.
+"""Planning of which pending tasks of a partition start next, and where.
 
-A holder asks for a round of steps every tenth of a second. Quotas and
-fair sharing decide the order, quarantine the candidates, what was
-learnt the size; the placement policy then chooses among what is left.
+A holder requests a round of steps every tenth of a second. Quotas and
+fair sharing determine the order, quarantine the candidates, and learned
+usage the size; the placement policy chooses among the candidates.
 """
 
 import dataclasses
@@ -17,11 +17,10 @@
 from persimmonsail.decisions import quarantine
 from persimmonsail.decisions import quotas
 
-# After its first announcement an entry waits so long (seconds) before
-# it calls a task too large for every instance: more may be unheard of.
+# Seconds after its first announcement before an entry calls a task too
+# large for every instance: other instances may not have reported yet.
 SETTLING = 10.0
-# So many tasks are looked at in one round.
-ROUND = 512
+MAX_TASKS_PER_ROUND = 512
 
 Chooser = t.Callable[
     [list[fleet_module.Instance], tasks_module.Task, admission.Size],
@@ -34,16 +33,16 @@
     task: tasks_module.Task,
     size: admission.Size,
 ) -> fleet_module.Instance | None:
-    """Choose the candidate with the most room left."""
+    """Choose the fitting candidate with the lowest share of cores taken."""
     return placement.choose_instance(candidates, size)
 
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """A task is to be started on an instance, with these terms.
+    """A decision to start a task on an instance, with its terms.
 
-    ``canary`` marks a test of an instance that failed tasks in a row;
-    ``suspect`` a task whose workload fails wherever it runs.
+    ``canary`` marks a test of an instance with consecutive failures,
+    ``suspect`` a task whose workload fails on any instance.
     """
 
     task: tasks_module.Task
@@ -56,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """A task can never run; this is its final answer."""
+    """A final decision that a task can never run."""
 
     task: tasks_module.Task
     reason: str
@@ -67,10 +66,10 @@
 
 @dataclasses.dataclass
 class Knowledge:
-    """What all partitions held by one entry learn together.
+    """State learned jointly by all partitions that one entry holds.
 
     ``started_at`` has the start of each task's attempt in monotonic
-    seconds, ``failed_on`` the instances that a task has failed on.
+    seconds, ``failed_on`` the instances on which each task has failed.
     """
 
     tracker: quarantine.Tracker = dataclasses.field(
@@ -81,10 +80,10 @@
     )
     started_at: dict[str, float] = dataclasses.field(default_factory=dict)
     failed_on: dict[str, set[str]] = dataclasses.field(default_factory=dict)
-    first_heard: float | None = None
+    first_report_at: float | None = None
 
     def note_start(self, task: str, now: float) -> None:
-        """Take in that an instance has taken a task's attempt."""
+        """Record the start of a task's attempt."""
         self.started_at[task] = now
 
     def note_end(
@@ -94,7 +93,7 @@
         failed: bool,
         now: float,
     ) -> quarantine.Verdict:
-        """Take in how an attempt ended; return how its instance stands."""
+        """Record how an attempt ended and return its instance's verdict."""
         self.tracker.note(task.workload, instance, failed)
         began = self.started_at.pop(task.id, None)
         if failed:
@@ -104,16 +103,18 @@
         return self.tracker.judge(instance)
 
     def forget(self, task: str) -> None:
-        """Drop what is known of a task that has its final outcome."""
+        """Drop the state of a task that has its final outcome."""
         self.started_at.pop(task, None)
         self.failed_on.pop(task, None)
 
     def is_settled(self, fleet: fleet_module.Fleet, now: float) -> bool:
-        """Whether membership is known well enough to rule tasks out."""
-        if self.first_heard is None and fleet.list_all():
-            self.first_heard = now
-        heard = self.first_heard
-        return heard is not None and now - heard >= SETTLING
+        """Whether enough instances are known to call tasks impossible."""
+        if self.first_report_at is None and fleet.list_all():
+            self.first_report_at = now
+        first_report_at = self.first_report_at
+        return (
+            first_report_at is not None and now - first_report_at >= SETTLING
+        )
 
 
 def find_impossible(
@@ -123,8 +124,8 @@
 ) -> str:
     """Return why a workload can never run as declared; empty if it can.
 
-    Silent instances count as known: a zone that is cut off comes back,
-    and its tasks are not refused for that.
+    Instances that do not report count as known: a disconnected zone
+    returns, and its tasks are not refused meanwhile.
     """
     size = read_declared(workload)
     quota = quotas.read_quota(catalogue.teams[workload.owner])
@@ -148,10 +149,10 @@
 
     Parameters
     ----------
-    fleet : persimmonsail.fleet.Fleet
+    fleet : persimmonsail.decisions.fleet.Fleet
         The entry's view of instances.
     knowledge : Knowledge
-        Shared by all partitions that the entry holds.
+        The state shared by all partitions that the entry holds.
     choose : callable
         The placement policy.
     order : str, optional
@@ -170,7 +171,7 @@
         self._fleet = fleet
         self._knowledge = knowledge
         self._choose = choose
-        self._arrange = quotas.ORDERS[order]
+        self._sort_tasks = quotas.ORDERS[order]
 
     def plan(
         self,
@@ -180,27 +181,27 @@
     ) -> t.Iterator[Step]:
         """Yield the steps of one round.
 
-        What a placement takes is charged and committed in the entry's
-        view before the next step is chosen. ``waiting`` then tells why
-        each task that was looked at still waits.
+        Each placement is charged and committed in the entry's view
+        before the next step is chosen. Afterwards, ``waiting`` has the
+        reason why each considered task still waits.
         """
         self.waiting = {}
         self._knowledge.is_settled(self._fleet, now)
         if pending:
-            yield from _Round(self, catalogue, now).run(pending)
+            yield from _PlanningRound(self, catalogue, now).run(pending)
 
     def note_task(
         self,
         task: tasks_module.Task,
         catalogue: catalogue_module.Catalogue,
     ) -> None:
-        """Bring the accounts in line with a task in the ledger."""
+        """Update the accounts for a task in the ledger."""
         workload = catalogue.workloads.get(task.workload)
         size = read_declared(workload) if workload else admission.Size()
         quotas.note_task(self.accounts, task, size)
 
 
-class _Round:
+class _PlanningRound:
     def __init__(
         self,
         planner: Planner,
@@ -223,17 +224,17 @@
         self._quarantined = self._knowledge.tracker.select(
             {i.name: i.failures for i in self._live}, now
         )
-        self._without_room: list[admission.Size] = []
-        # Nothing becomes free within a round, so what holds one task of
-        # a workload back holds back all that follow.
+        self._unplaceable_sizes: list[admission.Size] = []
+        # No capacity is released within a round, so a reason that blocks
+        # one task of a workload blocks all later ones.
         self._blocked: dict[str, str] = {}
 
     def run(self, pending: t.Sequence[tasks_module.Task]) -> t.Iterator[Step]:
-        tasks = self._planner._arrange(
+        tasks = self._planner._sort_tasks(
             pending, self._catalogue.workloads, self._policy
         )
-        for number, task in enumerate(tasks):
-            if number >= ROUND:
+        for index, task in enumerate(tasks):
+            if index >= MAX_TASKS_PER_ROUND:
                 return
             if (step := self._plan_task(task)) is not None:
                 yield step
@@ -271,17 +272,17 @@
     ) -> learning.Estimate:
         declared = read_declared(workload)
         learner = self._knowledge.learner
-        largest = max(
+        max_size = max(
             (limit for limit in self._limits if declared.fits(limit)),
             key=lambda limit: limit.cores,
             default=declared,
         )
-        found = learner.estimate_size(name, declared, largest)
+        estimate = learner.estimate_size(name, declared, max_size)
         quota = quotas.read_quota(self._catalogue.teams[workload.owner])
-        if not found.size.fits(quota):
-            # A guess must not shut a workload out of its team's quota.
-            return learning.Estimate(declared, 'declared', found.samples)
-        return found
+        if not estimate.size.fits(quota):
+            # An estimate must not exclude a workload from its team's quota.
+            return learning.Estimate(declared, 'declared', estimate.samples)
+        return estimate
 
     def _choose(
         self,
@@ -289,30 +290,35 @@
         workload: catalogue_module.Workload,
         size: admission.Size,
     ) -> fleet_module.Instance | None:
-        if any(small.fits(size) for small in self._without_room):
+        if any(
+            unplaceable.fits(size) for unplaceable in self._unplaceable_sizes
+        ):
             return None
         candidates = [i for i in self._live if self._may_start(i, workload)]
-        # Where it has failed, a task fails again more likely than not;
-        # elsewhere its end tells whose fault that was.
+        # A task that failed on an instance is likely to fail there again;
+        # its outcome elsewhere shows whether the task or the instance is
+        # at fault.
         avoided = self._knowledge.failed_on.get(task.id, ())
         candidates = [
             i for i in candidates if i.name not in avoided
         ] or candidates
-        tests = [i for i in candidates if i.name in self._quarantined]
-        if tests:
-            # No policy would choose an instance that fails; a canary
-            # goes there when it is due, whatever the others have free.
-            chosen = self._planner._choose(tests, task, size)
+        canary_candidates = [
+            i for i in candidates if i.name in self._quarantined
+        ]
+        if canary_candidates:
+            # No policy would choose a failing instance, so a due canary
+            # goes there regardless of free capacity elsewhere.
+            chosen = self._planner._choose(canary_candidates, task, size)
             if chosen is not None:
                 return chosen
         chosen = self._planner._choose(candidates, task, size)
-        all_seen = len(candidates) == len(self._live)
+        is_unfiltered = len(candidates) == len(self._live)
         if (
             chosen is None
-            and all_seen
+            and is_unfiltered
             and not placement.list_fitting(candidates, size)
         ):
-            self._without_room.append(size)
+            self._unplaceable_sizes.append(size)
         return chosen
 
     def _may_start(
@@ -327,10 +333,10 @@
                 and is_restartable(workload)
                 and tracker.may_test(instance.name, self._now)
             )
-        most = self._knowledge.tracker.most_risked
-        if instance.failures >= most:
+        limit = self._knowledge.tracker.most_risked
+        if instance.failures >= limit:
             return not instance.unproved
-        return instance.failures + instance.unproved < most
+        return instance.failures + instance.unproved < limit
 
     def _place(
         self,
@@ -361,8 +367,8 @@
 def is_restartable(workload: catalogue_module.Workload) -> bool:
     """Whether a failed attempt may be followed by another.
 
-    Only such work tests an instance in quarantine: a task that runs at
-    most once would be lost to a test that fails.
+    Only such work tests a quarantined instance: a task that runs at most
+    once would be lost if the test failed.
     """
     kind = catalogue_module.WorkloadClass.WATCHER
     return workload.idempotent or workload.workload_class is kind
--- a/src/persimmonsail/decisions/routing.py
+++ b/src/persimmonsail/decisions/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the instance that gets a quick request."""
+"""Choice of the instance that serves a quick request."""
 
 import dataclasses
 import random
@@ -7,13 +7,13 @@
 from persimmonsail.decisions import fleet
 from persimmonsail.decisions import interference
 
-SAMPLE = 5
-DEFAULT_SECONDS = 0.1
-# To another availability zone and back, as the larger site has it.
+SAMPLE_SIZE = 5
+DEFAULT_SERVICE_SECONDS = 0.1
+# Round trip to another availability zone, as on the larger site.
 DISTANCE_SECONDS = 0.0028
 
-_SAMPLE = 2
-_LOAD_HALF_LIFE = 1.0
+_SAMPLED_POLICY_SIZE = 2
+_LOAD_HALF_LIFE_SECONDS = 1.0
 
 POLICIES: dict[str, t.Callable[..., fleet.Instance]] = {}
 
@@ -41,7 +41,9 @@
     candidates: list[fleet.Instance], zone: str, generator: random.Random
 ) -> fleet.Instance:
     """Choose the less loaded of two sampled candidates."""
-    sample = generator.sample(candidates, min(_SAMPLE, len(candidates)))
+    sample = generator.sample(
+        candidates, min(_SAMPLED_POLICY_SIZE, len(candidates))
+    )
     return min(sample, key=lambda instance: score(instance, zone))
 
 
@@ -54,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """The terms of one instance's cost, in seconds; the lowest wins."""
+    """The terms of one instance's cost in seconds."""
 
     instance: fleet.Instance
     service: float
@@ -63,29 +65,29 @@
 
     @property
     def total(self) -> float:
-        """The predicted seconds until the answer."""
+        """The predicted response time in seconds."""
         return self.service + self.waiting + self.distance
 
     def describe(self) -> str:
         """Return the terms for a decision's log line."""
         names = ('service', 'waiting', 'distance')
-        return ','.join(f'{n}:{getattr(self, n):.4f}' for n in names)
+        return ','.join(f'{name}:{getattr(self, name):.4f}' for name in names)
 
 
 class Router:
-    """Chooses among sampled instances by the predicted answer time.
+    """Chooses among sampled instances by predicted response time.
 
     Parameters
     ----------
-    estimator : persimmonsail.interference.Estimator
+    estimator : persimmonsail.decisions.interference.Estimator
         Predicts base times and slowdowns.
     clock : callable
-        Returns monotonic seconds, as the instances' reports have them.
+        Returns monotonic seconds, on the clock of ``reported_at``.
     generator : random.Random
         Draws the sample.
-    distance_seconds : float
-        The delay to another zone and back.
-    sample : int, optional
+    cross_zone_seconds : float
+        The round-trip time to another zone.
+    sample_size : int, optional
         How many candidates are scored.
     """
 
@@ -94,20 +96,20 @@
         estimator: interference.Estimator,
         clock: t.Callable[[], float],
         generator: random.Random,
-        distance_seconds: float,
-        sample: int = SAMPLE,
+        cross_zone_seconds: float,
+        sample_size: int = SAMPLE_SIZE,
     ) -> None:
         self._estimator = estimator
         self._clock = clock
         self._generator = generator
-        self._distance = distance_seconds
-        self._sample = sample
+        self._cross_zone_seconds = cross_zone_seconds
+        self._sample_size = sample_size
 
     def choose(
         self, candidates: t.Sequence[fleet.Instance], workload: str, zone: str
     ) -> Cost:
-        """Return the cheapest of a sample, with its terms."""
-        size = min(self._sample, len(candidates))
+        """Return the lowest cost in a sample of the candidates."""
+        size = min(self._sample_size, len(candidates))
         sample = self._generator.sample(candidates, size)
         return min(
             (self.find_cost(i, workload, zone) for i in sample),
@@ -117,36 +119,40 @@
     def find_cost(
         self, instance: fleet.Instance, workload: str, zone: str
     ) -> Cost:
-        """Return one instance's predicted answer time by its terms."""
+        """Return the terms of one instance's predicted response time."""
         slots = max(instance.slots, 1)
         outstanding = self.estimate_outstanding(instance)
         busy = min(1.0, (outstanding + 1) / slots)
-        base = self._estimator.find_base(workload, DEFAULT_SECONDS)
+        base = self._estimator.find_base(workload, DEFAULT_SERVICE_SECONDS)
         service = base * self._estimator.predict(
             workload, instance.shares, busy
         )
-        ahead = outstanding + 1 - slots
+        queued = outstanding + 1 - slots
         waiting = 0.0
-        if ahead > 0:
+        if queued > 0:
             mean = self._find_mean_service(instance, service)
-            waiting = ahead / slots * mean
+            waiting = queued / slots * mean
         return Cost(
             instance=instance,
             service=service,
             waiting=waiting,
-            distance=0.0 if instance.zone == zone else self._distance,
+            distance=0.0
+            if instance.zone == zone
+            else self._cross_zone_seconds,
         )
 
     def estimate_outstanding(self, instance: fleet.Instance) -> float:
-        """Return the requests there, as far as they can be known.
+        """Estimate the outstanding requests of an instance.
 
-        The entry knows its own; those of other entries come from a
-        report, whose weight falls with its age.
+        The entry counts its own exactly; those of other entries come
+        from a report, whose weight decays with its age.
         """
         reported = instance.busy_slots + instance.queued
         others = max(0.0, reported - instance.outstanding)
         age = max(0.0, self._clock() - instance.reported_at)
-        return instance.outstanding + others * 0.5 ** (age / _LOAD_HALF_LIFE)
+        return instance.outstanding + others * 0.5 ** (
+            age / _LOAD_HALF_LIFE_SECONDS
+        )
 
     def _find_mean_service(
         self, instance: fleet.Instance, default: float
@@ -158,7 +164,7 @@
         return sum(
             demand
             / total
-            * self._estimator.find_base(victim, DEFAULT_SECONDS)
+            * self._estimator.find_base(victim, DEFAULT_SERVICE_SECONDS)
             * self._estimator.predict(victim, instance.shares, busy)
             for victim, demand in instance.demand.items()
         )
--- a/tests/decisions/test_interference.py
+++ b/tests/decisions/test_interference.py
@@ -4,15 +4,15 @@
 
 
 class EstimatorTest(base.TestCase):
-    def test_pairs_are_told_apart(self):
+    def test_aggressors_are_distinguished(self):
         estimator = interference.Estimator()
         views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
-        found = [
+        coefficients = [
             estimator.find_coefficient('check', name, 0.3)
             for name in ('build', 'archive')
         ]
-        self.assertAlmostEqual(4.0, found[0], delta=0.4)
-        self.assertAlmostEqual(0.1, found[1], delta=0.2)
+        self.assertAlmostEqual(4.0, coefficients[0], delta=0.4)
+        self.assertAlmostEqual(0.1, coefficients[1], delta=0.2)
         self.assertAlmostEqual(0.15, estimator.find_base('check'), delta=0.01)
 
     def test_unknown_pair_gets_the_prior(self):
@@ -24,10 +24,10 @@
         self.assertEqual(0.2, estimator.find_base('check', 0.2))
 
     def test_few_samples_stay_near_the_prior(self):
-        """One odd window must not make a pair look terrible.
+        """A single outlier window must not dominate a coefficient.
 
-        A user would see a task moved or throttled for nothing after
-        one slow second that had another cause.
+        Otherwise a task is moved or throttled needlessly after one slow
+        second that had another cause.
         """
         estimator = interference.Estimator()
         for second in range(20):
@@ -35,8 +35,8 @@
         estimator.learn(
             views.make_sample('check', 0.3, {'new': 0.1}, 20, count=2)
         )
-        found = estimator.find_coefficient('check', 'new', 0.3)
-        self.assertLess(found, 3.0)
+        coefficient = estimator.find_coefficient('check', 'new', 0.3)
+        self.assertLess(coefficient, 3.0)
 
     def test_bands_of_load_differ(self):
         estimator = interference.Estimator()
@@ -49,11 +49,11 @@
                             'check', seconds, {'build': share}, second, busy
                         )
                     )
-        low = estimator.find_coefficient('check', 'build', 0.3)
-        high = estimator.find_coefficient('check', 'build', 0.9)
-        self.assertGreater(high, 2 * low)
+        low_load = estimator.find_coefficient('check', 'build', 0.3)
+        high_load = estimator.find_coefficient('check', 'build', 0.9)
+        self.assertGreater(high_load, 2 * low_load)
 
-    def test_shift_shows_after_forgetting(self):
+    def test_shift_is_learned_as_old_samples_decay(self):
         estimator = interference.Estimator(half_life=20.0)
         views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         views.teach(
@@ -64,28 +64,28 @@
             estimator.find_coefficient('check', 'archive', 0.3), 3.0
         )
 
-    def test_sudden_shift_shows_within_seconds(self):
+    def test_sudden_shift_is_learned_within_seconds(self):
         """A shift must not have to outweigh minutes of older samples.
 
-        A user would see requests sent beside the tasks that have become
-        the noisy ones, for as long as forgetting takes. Two classes
-        swap what they do to a service, all at once.
+        Otherwise requests are colocated with the tasks that have become
+        noisy until old samples have decayed. Two classes suddenly swap
+        their effect on a service.
         """
         estimator = interference.Estimator()
         views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         views.teach(
             estimator, {'build': 0.1, 'archive': 4.0}, 0.15, 40, begin=200.0
         )
-        self.assertEqual(1, estimator.shifts)
+        self.assertEqual(1, estimator.shift_count)
         self.assertLess(estimator.find_coefficient('check', 'build', 0.3), 1.0)
         self.assertGreater(
             estimator.find_coefficient('check', 'archive', 0.3), 2.5
         )
 
-    def test_noise_is_no_shift(self):
+    def test_noise_is_not_detected_as_a_shift(self):
         estimator = interference.Estimator()
         views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15, 2000)
-        self.assertEqual(0, estimator.shifts)
+        self.assertEqual(0, estimator.shift_count)
 
     def test_terms_add_up_to_the_prediction(self):
         estimator = interference.Estimator()
@@ -107,7 +107,7 @@
             )
         self.assertEqual(0.0, estimator.find_coefficient('check', 'idle', 0.3))
 
-    def test_window_without_requests_teaches_nothing(self):
+    def test_window_without_requests_is_ignored(self):
         estimator = interference.Estimator()
         estimator.learn(
             views.make_sample('check', 0.0, {'build': 0.5}, count=0)
--- a/tests/decisions/test_objectives.py
+++ b/tests/decisions/test_objectives.py
@@ -35,28 +35,26 @@
     def setUp(self):
         super().setUp()
         self.catalogue = catalogue.parse('test', TEXT)
-        self.owners = objectives.Objectives(
+        self.objectives = objectives.Objectives(
             functools.partial(objectives.find_objective, self.catalogue)
         )
 
     def test_owner_sets_the_weights(self):
-        tail = self.owners.find_weights('check')
-        throughput = self.owners.find_weights('matching')
+        tail = self.objectives.find_weights('check')
+        throughput = self.objectives.find_weights('matching')
         self.assertGreater(tail.tail, throughput.tail)
         self.assertLess(tail.throttle_above, throughput.throttle_above)
 
     def test_service_has_the_objectives_of_its_workloads(self):
         notice = control_pb2.EntryNotice()
         objectives.fill_notice(notice, self.catalogue, 'planning')
-        told = [
-            (found.workload, found.objective) for found in notice.objectives
-        ]
-        self.assertEqual([('check', 'tail-latency')], told)
+        sent = [(item.workload, item.objective) for item in notice.objectives]
+        self.assertEqual([('check', 'tail-latency')], sent)
 
-    def test_unknown_workload_is_treated_as_tail_first(self):
+    def test_unknown_workload_gets_the_tail_latency_weights(self):
         self.assertEqual(
-            self.owners.find_weights('check'),
-            self.owners.find_weights('unheard-of'),
+            self.objectives.find_weights('check'),
+            self.objectives.find_weights('unheard-of'),
         )
 
     def test_every_objective_has_hysteresis(self):
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -23,14 +23,14 @@
             candidates, placement.Need(workload, size, **need)
         )
 
-    def test_noisy_task_goes_where_few_requests_suffer(self):
+    def test_noisy_task_is_placed_where_demand_is_low(self):
         busy = views.make_instance('busy', demand={'check': 0.4})
         quiet = views.make_instance('quiet', demand={'check': 0.1})
         choice = self.choose([busy, quiet])
         self.assertEqual('quiet', choice.instance.name)
 
-    def test_noise_in_many_places_costs_more_than_in_one(self):
-        """Requests have left the noisy instance; it can take more."""
+    def test_noise_is_concentrated_on_one_instance(self):
+        """Requests avoid the noisy instance, so noise costs less there."""
         noisy = views.make_instance(
             'noisy', shares={'build': 0.5}, demand={'check': 0.05}
         )
@@ -45,35 +45,37 @@
         self.assertIsNone(choice.instance)
         self.assertEqual('no room', choice.reason)
 
-    def test_task_is_held_back_only_for_a_while(self):
+    def test_task_is_held_only_for_a_limited_time(self):
         busy = views.make_instance('busy', demand={'check': 0.8})
         held = self.choose([busy])
         self.assertEqual('interference', held.reason)
         self.assertIsNone(held.instance)
-        waited = self.choose([busy], waited=1000.0)
-        self.assertEqual('busy', waited.instance.name)
+        after_hold = self.choose([busy], waited=1000.0)
+        self.assertEqual('busy', after_hold.instance.name)
 
-    def test_old_report_counts_against_an_instance(self):
-        old = views.make_instance('old', reported_at=-5.0)
+    def test_stale_report_raises_the_cost(self):
+        stale = views.make_instance('old', reported_at=-5.0)
         fresh = views.make_instance('fresh')
-        self.assertEqual('fresh', self.choose([old, fresh]).instance.name)
+        self.assertEqual('fresh', self.choose([stale, fresh]).instance.name)
 
-    def test_same_work_spreads_over_racks(self):
-        here = views.make_instance(
+    def test_tasks_of_a_workload_spread_over_racks(self):
+        same_rack_busy = views.make_instance(
             'here', rack='r1', zone='a', shares={'archive': 0.3}
         )
-        beside = views.make_instance('beside', rack='r1', zone='a')
-        away = views.make_instance('away', rack='r2', zone='b')
-        choice = self.choose([here, beside, away], 'archive')
+        same_rack = views.make_instance('beside', rack='r1', zone='a')
+        other_rack = views.make_instance('away', rack='r2', zone='b')
+        choice = self.choose(
+            [same_rack_busy, same_rack, other_rack], 'archive'
+        )
         self.assertEqual('away', choice.instance.name)
 
-    def test_evicted_task_does_not_return_at_once(self):
+    def test_avoided_instance_is_not_chosen(self):
         quiet = views.make_instance('quiet')
         busy = views.make_instance('busy', demand={'check': 0.1})
         choice = self.choose([quiet, busy], avoid=frozenset({'quiet'}))
         self.assertEqual('busy', choice.instance.name)
 
-    def test_choice_prints_its_terms(self):
+    def test_cost_describes_its_terms(self):
         cost = self.choose([views.make_instance('one')]).cost
         self.assertRegex(
             cost.describe(),
@@ -93,26 +95,26 @@
             lambda: self.now,
         )
 
-    def choose(self, instance, number):
-        task = tasks.Task(str(number), 'build', 'team', '{}', 1)
+    def choose(self, instance, index):
+        task = tasks.Task(str(index), 'build', 'team', '{}', 1)
         return self.placer.choose_task(
             [instance], task, admission.Size(8.0, 20.0)
         )
 
-    def test_workload_is_held_once_and_not_for_each_task(self):
-        """Held tasks must not each begin a wait of their own.
+    def test_workload_has_one_hold_period_for_all_tasks(self):
+        """Held tasks must not each start a hold period of their own.
 
-        A user would see builds start one by one, 20 s apart, although
-        there is room for all of them.
+        Otherwise tasks start one by one, 20 s apart, although there is
+        free capacity for all of them.
         """
         busy = views.make_instance('busy', demand={'check': 0.9})
         self.assertIsNone(self.choose(busy, 1))
         self.now = 30.0
-        chosen = [self.choose(busy, number) for number in range(5)]
+        chosen = [self.choose(busy, index) for index in range(5)]
         self.assertEqual([busy] * 5, chosen)
 
-    def test_chosen_instance_counts_the_task_at_once(self):
+    def test_chosen_instance_includes_the_task_immediately(self):
         quiet = views.make_instance('quiet')
-        for number in range(3):
-            self.choose(quiet, number)
+        for index in range(3):
+            self.choose(quiet, index)
         self.assertEqual({'build': 0.375}, quiet.shares)
--- a/tests/decisions/test_planner.py
+++ b/tests/decisions/test_planner.py
@@ -47,16 +47,16 @@
 
 
 def make_fleet(count: int = 11) -> fleet.Fleet:
-    made = fleet.Fleet(3600.0)
-    for number in range(count):
-        made.note_report(
+    instances = fleet.Fleet(3600.0)
+    for index in range(count):
+        instances.note_report(
             control_pb2.SidecarReport(
-                instance=f'instance-{number:02d}',
+                instance=f'instance-{index:02d}',
                 incarnation='one',
                 capacity=control_pb2.Size(cores=64, memory_gb=250),
             )
         )
-    return made
+    return instances
 
 
 def make_task(workload: str = 'build') -> tasks.Task:
@@ -77,7 +77,7 @@
     def plan(self, pending: list[tasks.Task], now: float = 0.0) -> list[t.Any]:
         return list(self.planner.plan(pending, CATALOGUE, now))
 
-    def test_a_round_respects_the_quota_and_says_why_tasks_wait(self):
+    def test_a_round_respects_the_quota_and_gives_wait_reasons(self):
         for instance in self.fleet.list_all():
             instance.unproved = -100
         pending = [make_task() for _ in range(60)]
@@ -85,43 +85,43 @@
         self.assertEqual(50, len(steps))
         self.assertEqual({'quota'}, set(self.planner.waiting.values()))
 
-    def test_a_round_sends_each_instance_three_unproved_starts(self):
-        """A broken instance gets a whole wave before it is known."""
+    def test_a_round_limits_unproved_starts_on_each_instance(self):
+        """A broken instance must get few tasks before it is detected."""
         steps = self.plan([make_task('check-up') for _ in range(60)])
         self.assertEqual(33, len(steps))
         self.assertEqual(27, len(self.planner.waiting))
         for instance in self.fleet.list_all():
             self.assertEqual(3, instance.unproved)
 
-    def test_a_bad_instance_gets_no_work_but_canaries(self):
-        bad = self.fleet.find('instance-04')
-        bad.failures = 3
+    def test_a_failing_instance_gets_only_canaries(self):
+        failing = self.fleet.find('instance-04')
+        failing.failures = 3
         steps = self.plan([make_task('check-up') for _ in range(40)])
         self.assertNotIn('instance-04', {s.instance.name for s in steps})
-        later = quarantine.CANARY_DELAY
-        [step] = self.plan([make_task('check-up')], later)
+        canary_at = quarantine.CANARY_DELAY
+        [step] = self.plan([make_task('check-up')], canary_at)
         self.assertEqual('instance-04', step.instance.name)
         self.assertTrue(step.canary)
 
-    def test_a_task_that_may_run_once_is_no_canary(self):
+    def test_a_task_that_runs_at_most_once_is_no_canary(self):
         self.fleet.find('instance-04').failures = 3
         self.plan([make_task()])
-        later = quarantine.CANARY_DELAY
-        for step in self.plan([make_task() for _ in range(30)], later):
+        canary_at = quarantine.CANARY_DELAY
+        for step in self.plan([make_task() for _ in range(30)], canary_at):
             self.assertNotEqual('instance-04', step.instance.name)
 
-    def test_a_task_too_large_for_all_is_refused_once_they_are_known(self):
-        """A build of 100 cores waits for ever, and its caller with it.
+    def test_a_task_too_large_for_all_instances_is_refused(self):
+        """A task of 100 cores must not stay pending for ever.
 
-        No instance has room for it, so it stays pending; but an entry
-        that has just started may not have heard of the large ones.
+        No instance can fit it; but an entry that has just started may
+        not have received the reports of large instances yet.
         """
         task = make_task('huge')
         self.assertEqual([], self.plan([task], 0.0))
         [step] = self.plan([task], planner.SETTLING)
         self.assertEqual('fits no known instance', step.reason)
 
-    def test_a_silent_instance_still_counts_as_known(self):
+    def test_an_instance_without_reports_counts_as_known(self):
         self.plan([make_task()])
         for instance in self.fleet.list_all():
             instance.reported_at -= 7200.0
@@ -132,7 +132,7 @@
         [step] = self.plan([make_task('greedy')], planner.SETTLING)
         self.assertEqual('larger than the quota of a', step.reason)
 
-    def test_the_learnt_size_is_committed_and_charged(self):
+    def test_the_learned_size_is_committed_and_charged(self):
         for _ in range(5):
             self.knowledge.learner.note_usage('build', 20, 16)
         [step] = self.plan([make_task()])
@@ -153,7 +153,7 @@
             limit = admission.leave_headroom(instance.capacity)
             self.assertTrue(instance.committed.fits(limit))
 
-    def test_rounds_without_tasks_settle_membership_too(self):
+    def test_rounds_without_tasks_count_for_settling(self):
         self.assertEqual([], self.plan([]))
         [step] = self.plan([make_task('huge')], planner.SETTLING)
         self.assertEqual('fits no known instance', step.reason)
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -18,37 +18,39 @@
     def choose(self, *candidates, zone='a'):
         return self.router.choose(candidates, 'check', zone)
 
-    def test_noisy_neighbour_costs_as_much_as_a_queue(self):
+    def test_interference_is_weighed_against_queueing(self):
         noisy = views.make_instance('noisy', shares={'build': 0.5})
         queued = views.make_instance('queued', busy_slots=8, queued=2)
         self.assertEqual('queued', self.choose(noisy, queued).instance.name)
         queued.queued = 30
         self.assertEqual('noisy', self.choose(noisy, queued).instance.name)
 
-    def test_harmless_neighbour_does_not_deter(self):
-        beside = views.make_instance('beside', shares={'archive': 0.5})
+    def test_harmless_neighbour_adds_no_cost(self):
+        colocated = views.make_instance('beside', shares={'archive': 0.5})
         queued = views.make_instance('queued', busy_slots=8, queued=2)
-        self.assertEqual('beside', self.choose(beside, queued).instance.name)
+        self.assertEqual(
+            'beside', self.choose(colocated, queued).instance.name
+        )
 
-    def test_own_zone_wins_between_equals(self):
+    def test_own_zone_is_preferred_at_equal_load(self):
         far = views.make_instance('far', zone='b')
         near = views.make_instance('near')
         self.assertEqual('near', self.choose(far, near).instance.name)
 
-    def test_old_load_is_believed_less(self):
+    def test_stale_load_is_discounted(self):
         instance = views.make_instance('one', busy_slots=8, queued=8)
         fresh = self.router.estimate_outstanding(instance)
         self.now = 5.0
-        old = self.router.estimate_outstanding(instance)
+        stale = self.router.estimate_outstanding(instance)
         self.assertEqual(16.0, fresh)
-        self.assertLess(old, 1.0)
+        self.assertLess(stale, 1.0)
 
-    def test_own_outstanding_is_never_discounted(self):
+    def test_own_outstanding_requests_are_not_discounted(self):
         instance = views.make_instance('one', outstanding=9)
         self.now = 60.0
         self.assertEqual(9, self.router.estimate_outstanding(instance))
 
-    def test_choice_prints_its_terms(self):
+    def test_cost_describes_its_terms(self):
         cost = self.choose(views.make_instance('one'))
         self.assertRegex(
             cost.describe(), r'^service:[\d.]+,waiting:[\d.]+,distance:[\d.]+$'
