--- a/src/persimmonsail/jobs/agent.py
+++ b/src/persimmonsail/jobs/agent.py
@@ -1,11 +1,12 @@
-"""The sidecar's side of jobs: orders of the leader, leases of runs.
+"""The sidecar's side of jobs: executes orders and renews leases.
 
-The sidecar decides nothing but whether an order may be carried out. It
-renews the leases of what runs beside it only as long as the leader's
-latest word allows it: each report carries the sidecar's own clock, the
-leader sends the latest one back, and leases may be extended until that
-time and the lease. So a leader knows the end of every lease that a
-sidecar out of its reach can have granted, however late calls arrive.
+The sidecar makes no scheduling decisions; it only checks whether an order
+may still be executed. It renews the leases of local runs only as far as
+the leader's latest message allows: each report carries a ticket, which is
+a reading of the sidecar's own clock, the leader sends the latest ticket
+back, and leases may be extended until that time plus the lease duration.
+The leader therefore has an upper bound for every lease that an unreachable
+sidecar can have granted, however late messages arrive.
 """
 
 import collections
@@ -23,47 +24,47 @@
 from persimmonsail.jobs import fleet_grpc
 from persimmonsail.jobs import fleet_pb2
 from persimmonsail.jobs import leases
-from persimmonsail.jobs import life as life_module
+from persimmonsail.jobs import life as incarnation_module
 from persimmonsail.jobs import lifereport
 from persimmonsail.jobs import orders as orders_module
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import worker as worker_module
 from persimmonsail import logs
 
-# Reports leave, and leases are renewed, at least so often.
-_LONGEST_PERIOD_SECONDS = 0.45
-# Reports of many ends at once are sent together.
-_GATHER_SECONDS = 0.01
-# How long a look waits for an end; the agent allows 2 s.
-_WAIT_SECONDS = 1.5
-# A link over which no orders came for so long has gone silent.
-_SILENCE_SECONDS = 2.0
+# Upper bound of the interval between reports and between lease renewals.
+_MAX_PERIOD_SECONDS = 0.45
+# Changes within this window are sent in one report.
+_BATCH_WINDOW_SECONDS = 0.01
+# How long a poll waits for a run to end; the agent allows 2 s.
+_LONG_POLL_SECONDS = 1.5
+# A link without orders for this long is treated as broken.
+_LINK_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 0.1
-# So many boots that ended are named in each report.
-_KEPT_BOOTS = 8
-# A line about a crash names so many of the runs that were started last.
-_LATEST_RUNS = 4
+# Number of ended boots and of crashes that are reported.
+_MAX_ENDED_BOOTS = 8
+# Number of the most recently started runs that a crash's log line names.
+_MAX_LOGGED_RUNS = 4
 
 
 class _Link:
     """One leader's link to this sidecar."""
 
     def __init__(self) -> None:
-        self.seen = 0
+        self.last_sequence = 0
         self.scope = anyio.CancelScope()
         self.barred: list[fleet_pb2.Barred] = []
-        self.crashes: list[life_module.Crash] = []
+        self.crashes: list[incarnation_module.Crash] = []
 
 
 class Agent(fleet_grpc.AgentBase):
-    """Carries out a leader's orders at one worker's agent.
+    """Executes a leader's orders through one worker's agent.
 
     Parameters
     ----------
     worker : persimmonsail.jobs.worker.Worker
-        How that agent is reached.
+        Client of that agent.
     lease_seconds : float
-        How long a run goes on after the leader's last word.
+        How long a run continues after the leader's last message.
     """
 
     def __init__(
@@ -71,92 +72,100 @@
     ) -> None:
         self._lease_seconds = lease_seconds
         self._period_seconds = leases.choose_period(
-            lease_seconds, _LONGEST_PERIOD_SECONDS
+            lease_seconds, _MAX_PERIOD_SECONDS
         )
         self._authority = orders_module.Authority()
-        self._orders = orders_module.Orders(
+        self._executor = orders_module.Executor(
             worker,
             self._authority,
-            on_over=self.note_boot_over,
-            on_barred=self._bar,
-            on_change=self._notify,
-            on_lease=self._renew_now,
+            on_boot_ended=self.note_boot_over,
+            on_barred=self._report_barred,
+            on_change=self._request_report,
+            on_renewal_due=self._request_renewal,
         )
-        self._life: life_module.Life | None = None
+        self._incarnation: incarnation_module.Incarnation | None = None
         self._successor: worker_module.Heartbeat | None = None
-        self._over: list[str] = []
-        self._crashes: collections.deque[life_module.Crash] = (
-            collections.deque(maxlen=_KEPT_BOOTS)
+        self._ended_boots: list[str] = []
+        self._crashes: collections.deque[incarnation_module.Crash] = (
+            collections.deque(maxlen=_MAX_ENDED_BOOTS)
         )
         self._link: _Link | None = None
-        self._changed = anyio.Event()
-        self._renew = anyio.Event()
+        self._report_due = anyio.Event()
+        self._renewal_requested = anyio.Event()
         self._group: anyio.abc.TaskGroup
         self.attached_at = clock.read()
 
     def note_heartbeat(self, heartbeat: worker_module.Heartbeat) -> None:
-        """Take in what the worker's agent says of itself."""
-        life = self._life
-        if heartbeat.boot in self._over:
-            # A heartbeat that was held up on its way outlives its sender.
+        """Process a heartbeat of the worker's agent."""
+        incarnation = self._incarnation
+        if heartbeat.boot in self._ended_boots:
+            # A delayed heartbeat can arrive after its sender has ended.
             logs.write_event('heartbeat-late', boot=heartbeat.boot)
             return
-        if life is not None and life.boot == heartbeat.boot:
-            if heartbeat.sequence <= life.heartbeat.sequence:
+        if incarnation is not None and incarnation.boot == heartbeat.boot:
+            if heartbeat.sequence <= incarnation.heartbeat.sequence:
                 return
-            if heartbeat.leaving and not life.heartbeat.leaving:
+            if heartbeat.leaving and not incarnation.heartbeat.leaving:
                 logs.write_event(
                     'worker-leaving',
                     boot=heartbeat.boot,
                     remaining=heartbeat.remaining_seconds,
                 )
-            life.note_heartbeat(heartbeat, clock.read())
-        elif life is None:
-            self._begin_life(heartbeat)
+            incarnation.note_heartbeat(heartbeat, clock.read())
+        elif incarnation is None:
+            self._begin_incarnation(heartbeat)
         else:
-            # A heartbeat alone proves nothing: one that was held up may
-            # be older than the boot that runs. If that one has ended, the
-            # agent says so at the next look.
+            # A heartbeat alone is no evidence of a restart: a delayed one
+            # may be older than the current boot. If the current boot has
+            # ended, the next poll of the agent reveals it.
             self._successor = heartbeat
-            self._renew.set()
-        self._notify()
+            self._renewal_requested.set()
+        self._request_report()
 
-    def _begin_life(self, heartbeat: worker_module.Heartbeat) -> None:
+    def _begin_incarnation(self, heartbeat: worker_module.Heartbeat) -> None:
         self._successor = None
-        self._life = life_module.Life(heartbeat, clock.read())
+        self._incarnation = incarnation_module.Incarnation(
+            heartbeat, clock.read()
+        )
         logs.write_event(
             'worker-boot',
             boot=heartbeat.boot,
             service=heartbeat.service,
             millicores=heartbeat.capacity.millicores,
         )
-        self._renew.set()
+        self._renewal_requested.set()
 
     def note_boot_over(self, boot: str, asked: bool = False) -> None:
-        """Note that a boot of the worker's agent has ended.
+        """Record that a boot of the worker's agent has ended.
 
         Parameters
         ----------
         boot : str
-            Which boot; one that is not the latest changes nothing.
+            The boot that ended; the current state changes only if it is
+            the latest one.
         asked : bool
-            Whether it said so itself, as it does when it is stopped.
+            Whether the agent announced it, as it does on shutdown.
         """
-        if not boot or boot in self._over:
+        if not boot or boot in self._ended_boots:
             return
-        self._over.append(boot)
-        if self._life is not None and self._life.boot == boot:
+        self._ended_boots.append(boot)
+        if self._incarnation is not None and self._incarnation.boot == boot:
             logs.write_event('worker-gone', boot=boot)
-            self._life.over = True
-            if not asked and not self._life.heartbeat.leaving:
-                self._note_crash(self._life.describe_crash(clock.read()))
-            self._life = None
+            self._incarnation.terminated = True
+            if not asked and not self._incarnation.heartbeat.leaving:
+                self._record_crash(
+                    self._incarnation.describe_crash(clock.read())
+                )
+            self._incarnation = None
             successor = self._successor
-            if successor is not None and successor.boot not in self._over:
-                self._begin_life(successor)
-            self._notify()
+            if (
+                successor is not None
+                and successor.boot not in self._ended_boots
+            ):
+                self._begin_incarnation(successor)
+            self._request_report()
 
-    def _note_crash(self, crash: life_module.Crash) -> None:
+    def _record_crash(self, crash: incarnation_module.Crash) -> None:
         self._crashes.append(crash)
         if self._link is not None:
             self._link.crashes.append(crash)
@@ -167,25 +176,25 @@
             runs=len(crash.runs),
             latest=' '.join(
                 f'{run.task}:{run.run}@{run.seconds:.3f}'
-                for run in crash.runs[:_LATEST_RUNS]
+                for run in crash.runs[:_MAX_LOGGED_RUNS]
             ),
         )
 
     async def run(self) -> None:
-        """Renew leases and read ends, until cancelled."""
+        """Renew leases and poll for ended runs, until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
-            group.start_soon(self._keep_renewing)
-            group.start_soon(self._keep_waiting)
+            group.start_soon(self._run_renewal_loop)
+            group.start_soon(self._run_wait_loop)
             await anyio.sleep_forever()
 
     async def Attach(self, stream: t.Any) -> None:
-        """Serve one leader; a later leader's link ends this one."""
+        """Serve one leader, until a later leader attaches."""
         first = await stream.recv_message()
         if first is None:
             return
         if first.epoch < self._authority.epoch:
-            # A deposed leader that does not know it yet.
+            # A deposed leader that has not noticed it yet.
             logs.write_event(
                 'leader-stale', epoch=first.epoch, known=self._authority.epoch
             )
@@ -195,13 +204,13 @@
         if self._link is not None:
             self._link.scope.cancel()
         link = self._link = _Link()
-        # Whoever led before may have heard of them without having written
-        # down what follows; a leader counts none of them twice.
+        # The previous leader may have received these without committing
+        # their consequences; a leader counts no crash twice.
         link.crashes.extend(self._crashes)
         self._authority.epoch = first.epoch
         logs.write_event('leader-attached', epoch=first.epoch)
         with link.scope:
-            self._take(link, first)
+            self._apply_orders(link, first)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._send_reports, link, stream)
                 with contextlib.suppress(TimeoutError):
@@ -213,90 +222,96 @@
 
     async def _receive(self, link: _Link, stream: t.Any) -> None:
         while True:
-            with anyio.fail_after(_SILENCE_SECONDS):
+            with anyio.fail_after(_LINK_TIMEOUT_SECONDS):
                 orders = await stream.recv_message()
             if orders is None:
                 return
-            self._take(link, orders)
+            self._apply_orders(link, orders)
 
     async def _send_reports(self, link: _Link, stream: t.Any) -> None:
         while True:
-            self._changed = anyio.Event()
-            await stream.send_message(self._describe(link))
+            self._report_due = anyio.Event()
+            await stream.send_message(self._build_report(link))
             with anyio.move_on_after(self._period_seconds):
-                await self._changed.wait()
-                await anyio.sleep(_GATHER_SECONDS)
+                await self._report_due.wait()
+                await anyio.sleep(_BATCH_WINDOW_SECONDS)
 
-    def _describe(self, link: _Link) -> fleet_pb2.Report:
+    def _build_report(self, link: _Link) -> fleet_pb2.Report:
         now = clock.read()
-        report = fleet_pb2.Report(ticket=now, seen=link.seen)
+        report = fleet_pb2.Report(ticket=now, seen=link.last_sequence)
         report.barred.extend(link.barred)
         link.barred.clear()
-        report.over.extend(self._over[-_KEPT_BOOTS:])
+        report.over.extend(self._ended_boots[-_MAX_ENDED_BOOTS:])
         for crash in link.crashes:
             lifereport.fill_crash(report.crashes.add(), crash, now)
         link.crashes.clear()
-        life = self._life
-        if life is None:
+        incarnation = self._incarnation
+        if incarnation is None:
             return report
-        lifereport.fill(report, life, now)
-        report.fenced = life.fenced_epoch >= self._authority.epoch
+        lifereport.fill_report(report, incarnation, now)
+        report.fenced = incarnation.fenced_epoch >= self._authority.epoch
         return report
 
-    def _notify(self) -> None:
-        self._changed.set()
+    def _request_report(self) -> None:
+        self._report_due.set()
 
-    def _renew_now(self) -> None:
-        self._renew.set()
+    def _request_renewal(self) -> None:
+        self._renewal_requested.set()
 
-    def _take(self, link: _Link, orders: fleet_pb2.Orders) -> None:
+    def _apply_orders(self, link: _Link, orders: fleet_pb2.Orders) -> None:
         self.attached_at = clock.read()
-        link.seen = orders.sequence
+        link.last_sequence = orders.sequence
         if orders.ticket:
             until = orders.ticket + self._lease_seconds
             self._authority.until = max(self._authority.until, until)
-        life = self._life
-        if life is None:
+        incarnation = self._incarnation
+        if incarnation is None:
             for start in orders.starts:
-                self._bar(start.task, start.run, 'no-worker')
+                self._report_barred(start.task, start.run, 'no-worker')
             return
-        # Ends are numbered anew in each boot: a number of an earlier one
-        # would have the agent forget ends that nobody has seen.
-        same = orders.boot == life.boot
-        if same and orders.acknowledged > life.acknowledged:
-            life.acknowledged = orders.acknowledged
-            self._renew.set()
+        # Ended runs are numbered per boot: applying a number of an earlier
+        # boot would make the agent discard ends that no leader has read.
+        same_boot = orders.boot == incarnation.boot
+        if same_boot and orders.acknowledged > incarnation.acknowledged:
+            incarnation.acknowledged = orders.acknowledged
+            self._renewal_requested.set()
         for start in (*orders.known, *orders.starts):
-            life.sizes[start.task, start.run] = lifereport.read_size(
+            incarnation.sizes[start.task, start.run] = lifereport.read_size(
                 start.size
             )
-        stops = [(stop.task, stop.run) for stop in orders.stops]
-        life.stopping.update(stops)
+        stop_keys = [(stop.task, stop.run) for stop in orders.stops]
+        incarnation.stopping.update(stop_keys)
         for start in orders.starts:
-            self._admit(life, start)
-        for key in stops:
-            life.pending[key] = life.sizes.get(key, specification.Size())
-            self._group.start_soon(self._orders.stop, life, key)
+            self._admit(incarnation, start)
+        for key in stop_keys:
+            incarnation.pending[key] = incarnation.sizes.get(
+                key, specification.Size()
+            )
+            self._group.start_soon(self._executor.stop, incarnation, key)
         for pace in orders.paces:
-            self._group.start_soon(self._orders.set_pace, life, pace)
+            self._group.start_soon(self._executor.set_pace, incarnation, pace)
 
-    def _admit(self, life: life_module.Life, start: fleet_pb2.Start) -> None:
+    def _admit(
+        self,
+        incarnation: incarnation_module.Incarnation,
+        start: fleet_pb2.Start,
+    ) -> None:
         key = (start.task, start.run)
-        size = life.sizes.pop(key)
-        if start.boot != life.boot:
-            self._bar(start.task, start.run, 'boot-changed')
+        size = incarnation.sizes.pop(key)
+        if start.boot != incarnation.boot:
+            self._report_barred(start.task, start.run, 'boot-changed')
             return
-        if key in life.pending or key in life.running:
-            life.sizes[key] = size
+        if key in incarnation.pending or key in incarnation.running:
+            incarnation.sizes[key] = size
             return
-        if key in life.stopping:
-            # The stop tells the leader that it never starts.
+        if key in incarnation.stopping:
+            # The stop reports to the leader that the run never starts.
             return
-        free = life.measure_free()
+        free = incarnation.measure_free()
         reason = ''
         if orders_module.is_expired(start, clock.read()):
             reason = orders_module.EXPIRED
-        elif life.heartbeat.leaving:
+        elif incarnation.heartbeat.leaving:
             reason = 'leaving'
         elif not size.fits(free):
             reason = 'room'
@@ -309,58 +324,66 @@
                 free_millicores=free.millicores,
                 free_mib=free.memory_mib,
             )
-            self._bar(start.task, start.run, reason)
+            self._report_barred(start.task, start.run, reason)
             return
-        life.sizes[key] = size
-        life.pending[key] = size
-        self._group.start_soon(self._orders.start, life, start)
+        incarnation.sizes[key] = size
+        incarnation.pending[key] = size
+        self._group.start_soon(self._executor.start, incarnation, start)
 
-    def _bar(self, task: str, run: int, reason: str) -> None:
+    def _report_barred(self, task: str, run: int, reason: str) -> None:
         if self._link is not None:
             barred = fleet_pb2.Barred(task=task, run=run, reason=reason)
             self._link.barred.append(barred)
-        self._notify()
+        self._request_report()
 
-    async def _keep_renewing(self) -> None:
-        """Extend leases; nothing else may hold this task up."""
+    async def _run_renewal_loop(self) -> None:
+        """Extend leases; nothing else may block this task."""
         while True:
-            self._renew = anyio.Event()
-            if self._life is not None:
-                await self._try_look(self._life, extend=True)
+            self._renewal_requested = anyio.Event()
+            if self._incarnation is not None:
+                await self._try_poll(self._incarnation, extend=True)
             with anyio.move_on_after(self._period_seconds):
-                await self._renew.wait()
+                await self._renewal_requested.wait()
 
-    async def _keep_waiting(self) -> None:
-        """Read ends at the moment they happen."""
+    async def _run_wait_loop(self) -> None:
+        """Poll for ended runs, with long polls where possible."""
         while True:
-            life = self._life
-            if life is None or not life.looked:
+            incarnation = self._incarnation
+            if incarnation is None or not incarnation.polled:
                 await anyio.sleep(_RETRY_SECONDS)
-            elif life.ended:
-                # The agent answers at once while ends are not
-                # acknowledged; asking on took a tenth of the processor.
+            elif incarnation.ended:
+                # The agent answers immediately while ends are not
+                # acknowledged; polling it in a loop took a tenth of the
+                # processor.
                 with anyio.move_on_after(_RETRY_SECONDS):
-                    await self._renew.wait()
-                await anyio.sleep(_GATHER_SECONDS)
-            elif not await self._try_look(life, wait=_WAIT_SECONDS):
+                    await self._renewal_requested.wait()
+                await anyio.sleep(_BATCH_WINDOW_SECONDS)
+            elif not await self._try_poll(
+                incarnation, wait=_LONG_POLL_SECONDS
+            ):
                 await anyio.sleep(_RETRY_SECONDS)
 
-    async def _try_look(
-        self, life: life_module.Life, extend: bool = False, wait: float = 0.0
+    async def _try_poll(
+        self,
+        incarnation: incarnation_module.Incarnation,
+        extend: bool = False,
+        wait: float = 0.0,
     ) -> bool:
         try:
-            await self._orders.look(life, extend, wait)
+            await self._executor.poll(incarnation, extend, wait)
         except exceptions.WorkerBootChanged:
-            self.note_boot_over(life.boot)
+            self.note_boot_over(incarnation.boot)
         except (
             exceptions.OrderRefused,
             exceptions.WorkerUnavailable,
         ) as error:
-            if not life.failing:
-                logs.write_warning('worker-lost', boot=life.boot, error=error)
-            life.failing = True
+            if not incarnation.failing:
+                logs.write_warning(
+                    'worker-lost', boot=incarnation.boot, error=error
+                )
+            incarnation.failing = True
             if isinstance(error, exceptions.WorkerUnavailable):
-                life.note_silence(clock.read())
+                incarnation.note_unanswered_call(clock.read())
         else:
             return True
         return False
--- a/src/persimmonsail/jobs/life.py
+++ b/src/persimmonsail/jobs/life.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of one life of its worker's agent."""
+"""A sidecar's view of one incarnation of its worker's agent."""
 
 import dataclasses
 import math
@@ -10,20 +10,20 @@
 RunId = tuple[str, int]
 
 _MILLISECONDS = 1000
-# A look that was made just before a start may be answered after it; what
-# a look this much later still misses is not there.
-_OVERTAKEN_MS = 100
-# An agent that has not answered for so long gets no new work and no new
-# leases, until it answers again; it is asked twice in this time.
-SILENT_SECONDS = 1.0
-# Its clock may be slow by 2% of a lease of 6 s, and it notices the end of
-# a lease a little late.
+# A snapshot taken just before a start may arrive after the start's answer; a
+# run that is missing from a snapshot this much later is absent.
+_REORDERING_WINDOW_MS = 100
+# An agent without an answer for this long gets no new work and no new leases
+# until it answers again; it is polled twice in this time.
+UNREACHABLE_SECONDS = 1.0
+# The agent's clock may be slow by 2% of a lease of 6 s, and it detects the
+# end of a lease slightly late.
 LAPSE_MARGIN_SECONDS = 0.5
 
 
 @dataclasses.dataclass
-class _Provisional:
-    """A start that was answered; a look made before it misses it."""
+class _ProvisionalRun:
+    """An answered start, which an earlier snapshot does not contain."""
 
     clock_ms: int
     row: worker_module.RunningRow
@@ -31,10 +31,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class CrashedRun:
-    """A run that was, or may have been, on an agent that ended unasked.
+    """A run that was, or may have been, on an agent when it crashed.
 
-    ``seconds`` is how long it has run for certain, by the agent's own clock,
-    which no late message stretches; 0 for a start that was not answered.
+    ``seconds`` is a lower bound of its running time, by the agent's own
+    clock, so that delayed messages don't extend it; 0 for an unanswered
+    start.
     """
 
     task: str
@@ -44,17 +45,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Crash:
-    """The end of a boot that nobody had asked for or announced.
+    """The unrequested and unannounced end of a boot.
 
     Attributes
     ----------
     boot : str
         The boot that ended.
     alive_at, failed_at : float
-        When it last lived for certain, and when a call first failed after
-        that; the crash lies between the two. Seconds of the sidecar's clock.
+        When it was last known to be alive, and when a call first failed
+        after that; the crash lies between the two. Seconds of the sidecar's
+        clock.
     runs : tuple of CrashedRun
-        What ran there, the latest start first.
+        The runs that were there, the latest start first.
     """
 
     boot: str
@@ -63,39 +65,39 @@
     runs: tuple[CrashedRun, ...]
 
 
-class Life:
-    """Runs, ends and clock of one boot of the worker's agent.
+class Incarnation:
+    """Running runs, ended runs and clock of one boot of the agent.
 
     Attributes
     ----------
     heartbeat : persimmonsail.jobs.worker.Heartbeat
-        The latest one.
+        The latest heartbeat.
     acknowledged : int
         Ends up to this number are committed by the leader.
     pending : dict
-        The sizes of runs whose orders are not settled.
+        The sizes of runs with unsettled orders.
     stopping : set
         Runs whose stop was ordered and is not settled; none of them may be
-        started, or its start repeated.
-    looked : bool
-        Whether its runs were read at all.
+        started, and no start of them retried.
+    polled : bool
+        Whether any poll of the agent has succeeded.
     fenced_epoch : int
-        The highest epoch that the agent has seen in a look.
-    over : bool
+        The highest epoch that the agent has received in a poll.
+    terminated : bool
         Whether the boot has ended.
     failing : bool
-        Whether the last look failed.
+        Whether the last poll failed.
     answered_at : float
         When the agent last answered.
     alive_at : float
-        When it last lived for certain: it has answered, or sent a heartbeat.
+        When the agent was last known to be alive, by an answer or a
+        heartbeat.
     failed_at : float
         When the first call after that failed; 0 if none has.
     granted_until : float
-        Until when leases were granted at the most, by orders that were
-        answered or not.
+        Upper bound of the leases granted, by answered or unanswered orders.
     extended_until : float
-        Until when leases were extended by a look that was answered; 0 before
+        Time up to which an answered poll has extended the leases; 0 before
         the first one.
     """
 
@@ -107,36 +109,36 @@
         self.sizes: dict[RunId, specification.Size] = {}
         self.running: dict[RunId, worker_module.RunningRow] = {}
         self.ended: dict[int, worker_module.EndedRow] = {}
-        self.looked = False
+        self.polled = False
         self.fenced_epoch = 0
-        self.over = False
+        self.terminated = False
         self.failing = False
         self.answered_at = now
         self.alive_at = now
         self.failed_at = 0.0
         self.granted_until = now
         self.extended_until = 0.0
-        # When each run was sent that has, or may have, begun, and whose end
-        # was not seen.
-        self._sent: dict[RunId, float] = {}
-        # The agent's clock when each was first known to run, and those of
-        # which no answer has said that they do.
+        # Send time of each start that was, or may have been, executed and
+        # whose run is not known to have ended.
+        self._sent_at: dict[RunId, float] = {}
+        # The agent's clock when each run was first known to be running, and
+        # the starts that no answer has confirmed.
         self._began_ms: dict[RunId, int] = {}
-        self._unanswered: set[RunId] = set()
-        # The agent's clock in the latest message of it.
+        self._unanswered_starts: set[RunId] = set()
+        # The agent's clock in its latest message.
         self._alive_ms = 0
-        self._provisional: dict[RunId, _Provisional] = {}
+        self._provisional_runs: dict[RunId, _ProvisionalRun] = {}
         self._clock_ms = 0
         self._clock_read_at = 0.0
-        self._looked_ms = 0
+        self._snapshot_ms = 0
 
     @property
     def boot(self) -> str:
-        """The agent's life that this is."""
+        """The id of this incarnation."""
         return self.heartbeat.boot
 
     def note_answer(self, now: float) -> None:
-        """Note that the agent has answered a call."""
+        """Record that the agent has answered a call."""
         self.answered_at = now
         self.alive_at = now
         self.failed_at = 0.0
@@ -144,16 +146,16 @@
     def note_heartbeat(
         self, heartbeat: worker_module.Heartbeat, now: float
     ) -> None:
-        """Take a later heartbeat of this boot in.
+        """Process a later heartbeat of this boot.
 
-        It comes by another way than answers do, so that a call that has
-        failed before tells nothing of the agent's end.
+        It takes another route than answers do, so a call that failed before
+        it is no evidence of the agent's end.
         """
         self.heartbeat = heartbeat
         if not heartbeat.clock_ms or not self.knows_agent_clock:
             self.failed_at = 0.0
             return
-        # It may have been held up: only the clock tells when it was sent.
+        # It may have been delayed: only its clock shows when it was sent.
         self._alive_ms = max(self._alive_ms, heartbeat.clock_ms)
         ahead = (heartbeat.clock_ms - self._clock_ms) / _MILLISECONDS
         sent_at = min(self._clock_read_at + ahead, now)
@@ -161,57 +163,57 @@
         if self.failed_at < self.alive_at:
             self.failed_at = 0.0
 
-    def note_silence(self, now: float) -> None:
-        """Note that a call got no answer."""
+    def note_unanswered_call(self, now: float) -> None:
+        """Record that a call got no answer."""
         self.failed_at = self.failed_at or now
 
-    def note_sent(self, key: RunId, at: float) -> None:
-        """Note that a start was sent and may have been carried out."""
-        # A look may have shown the run before its start was answered, and a
-        # start that was left unanswered is sent again.
-        if self._sent.get(key, -math.inf) == -math.inf:
-            self._sent[key] = at
+    def note_start_sent(self, key: RunId, at: float) -> None:
+        """Record that a start was sent and may have been executed."""
+        # A snapshot may have shown the run before its start was answered,
+        # and an unanswered start is sent again.
+        if self._sent_at.get(key, -math.inf) == -math.inf:
+            self._sent_at[key] = at
 
-    def note_unanswered(self, key: RunId, at: float) -> None:
-        """Note that a start was sent, and whether it runs is not known."""
-        self.note_sent(key, at)
-        self._unanswered.add(key)
+    def note_unanswered_start(self, key: RunId, at: float) -> None:
+        """Record that a start was sent and got no answer."""
+        self.note_start_sent(key, at)
+        self._unanswered_starts.add(key)
 
-    def note_unsent(self, key: RunId) -> None:
-        """Note that a start will certainly not be carried out."""
-        self._forget(key)
+    def discard_start(self, key: RunId) -> None:
+        """Record that a start will certainly not be executed."""
+        self._forget_start(key)
 
-    def _forget(self, key: RunId) -> None:
-        self._sent.pop(key, None)
+    def _forget_start(self, key: RunId) -> None:
+        self._sent_at.pop(key, None)
         self._began_ms.pop(key, None)
-        self._unanswered.discard(key)
+        self._unanswered_starts.discard(key)
 
     def describe_crash(self, now: float) -> Crash:
-        """Tell what ran when this boot ended, which nobody had asked for.
+        """Return what ran when this boot ended unexpectedly.
 
-        Of a start that was sent after the first failed call nothing can
-        have been carried out: the boot had ended.
+        A start that was sent after the first failed call can't have been
+        executed: the boot had ended.
         """
         failed_at = self.failed_at or now
         runs = [
             CrashedRun(*key, self._measure_run(key, at))
-            for key, at in self._sent.items()
+            for key, at in self._sent_at.items()
             if at <= failed_at
         ]
         runs.sort(key=lambda run: (run.seconds, run.task))
         return Crash(self.boot, self.alive_at, failed_at, tuple(runs))
 
     def _measure_run(self, key: RunId, sent_at: float) -> float:
-        """Return for how many seconds a run has run for certain."""
+        """Return a lower bound of a run's running time in seconds."""
         began_ms = self._began_ms.get(key)
         if began_ms is not None:
             return max(self._alive_ms - began_ms, 0) / _MILLISECONDS
-        if key in self._unanswered:
+        if key in self._unanswered_starts:
             return 0.0
         return max(self.alive_at - sent_at, 0.0)
 
     def note_clock(self, clock_ms: int, now: float) -> None:
-        """Note the agent's clock, read before ``now``."""
+        """Record the agent's clock, read before ``now``."""
         self._alive_ms = max(self._alive_ms, clock_ms)
         if clock_ms >= self._clock_ms:
             self._clock_ms = clock_ms
@@ -219,104 +221,105 @@
 
     @property
     def knows_agent_clock(self) -> bool:
-        """Whether moments can be told to the agent."""
+        """Whether times can be converted to the agent's clock."""
         return bool(self._clock_ms)
 
-    def to_agent_clock(self, moment: float) -> int | None:
-        """Translate a moment to the agent's clock, rather too early.
+    def to_agent_clock(self, time: float) -> int | None:
+        """Convert a time to the agent's clock, rounding early.
 
         The clock was read before its answer arrived, so the result is
-        never later than the moment itself.
+        never later than the given time.
         """
         if not self.knows_agent_clock:
             return None
-        ahead = moment - self._clock_read_at
+        ahead = time - self._clock_read_at
         return self._clock_ms + int(ahead * _MILLISECONDS)
 
     def is_lapsed(self, now: float) -> bool:
-        """Tell whether all that ran has ended with its lease.
+        """Return whether all runs have ended with their leases.
 
-        An agent that can't be asked may still run everything, until the
-        last lease that any order can have granted is over.
+        An unreachable agent may still run everything until the last lease
+        that any order can have granted has expired.
         """
-        silent = now - self.answered_at
+        unanswered_seconds = now - self.answered_at
         bound = self.granted_until + LAPSE_MARGIN_SECONDS
-        return silent > SILENT_SECONDS and now > bound
+        return unanswered_seconds > UNREACHABLE_SECONDS and now > bound
 
-    def note_look(self, look: worker_module.Look, now: float) -> bool:
-        """Take a look in; tell whether runs or ends changed.
+    def apply_snapshot(self, snapshot: worker_module.Look, now: float) -> bool:
+        """Apply a snapshot; return whether running or ended runs changed.
 
-        Answers on different connections overtake each other, so an older
-        look than the last one is passed over.
+        Answers on different connections can be reordered, so a snapshot
+        older than the last one is ignored.
         """
-        if self.looked and look.clock_ms < self._looked_ms:
+        if self.polled and snapshot.clock_ms < self._snapshot_ms:
             return False
-        self._looked_ms = look.clock_ms
-        self.note_clock(look.clock_ms, now)
-        running = {(row.task, row.run): row for row in look.running}
-        ended_keys = {(row.task, row.run) for row in look.ended}
-        seen = running.keys() | ended_keys
-        self._provisional = {
-            key: kept
-            for key, kept in self._provisional.items()
-            if key not in seen
-            and look.clock_ms <= kept.clock_ms + _OVERTAKEN_MS
+        self._snapshot_ms = snapshot.clock_ms
+        self.note_clock(snapshot.clock_ms, now)
+        running = {(row.task, row.run): row for row in snapshot.running}
+        ended_keys = {(row.task, row.run) for row in snapshot.ended}
+        reported = running.keys() | ended_keys
+        self._provisional_runs = {
+            key: provisional
+            for key, provisional in self._provisional_runs.items()
+            if key not in reported
+            and snapshot.clock_ms
+            <= provisional.clock_ms + _REORDERING_WINDOW_MS
         }
-        for key, kept in self._provisional.items():
-            running[key] = kept.row
+        for key, provisional in self._provisional_runs.items():
+            running[key] = provisional.row
         ended = {
             row.number: row
-            for row in look.ended
+            for row in snapshot.ended
             if row.number > self.acknowledged
         }
         changed = (
-            not self.looked
+            not self.polled
             or running.keys() != self.running.keys()
             or ended.keys() != self.ended.keys()
         )
         self.running = running
         self.ended = ended
-        self.looked = True
-        known = running.keys() | self.pending.keys()
-        self.sizes = {k: s for k, s in self.sizes.items() if k in known}
-        self._note_begun(running.keys(), ended_keys, look.clock_ms)
+        self.polled = True
+        active = running.keys() | self.pending.keys()
+        self.sizes = {k: s for k, s in self.sizes.items() if k in active}
+        self._record_seen_runs(running.keys(), ended_keys, snapshot.clock_ms)
         return changed
 
-    def _note_begun(
+    def _record_seen_runs(
         self,
         running: t.Collection[RunId],
         ended: t.Collection[RunId],
         clock_ms: int,
     ) -> None:
         for key in ended:
-            self._forget(key)
+            self._forget_start(key)
         for key in running:
-            # Started before this sidecar was: how long ago isn't known.
-            sent_at = self._sent.setdefault(key, -math.inf)
+            # Started before this sidecar: its age is unknown.
+            sent_at = self._sent_at.setdefault(key, -math.inf)
             if sent_at > -math.inf:
                 self._began_ms.setdefault(key, clock_ms)
 
-    def note_started(
+    def note_start_answered(
         self, order: worker_module.StartOrder, clock_ms: int, now: float
     ) -> None:
-        """Note that a start was answered."""
+        """Record that a start was answered."""
         key = (order.task, order.run)
         row = worker_module.RunningRow(order.task, order.run, order.checkpoint)
         self.note_clock(clock_ms, now)
         self._began_ms.setdefault(key, clock_ms)
-        self._provisional[key] = _Provisional(clock_ms, row)
+        self._provisional_runs[key] = _ProvisionalRun(clock_ms, row)
         self.running.setdefault(key, row)
 
     def has_ended(self, key: RunId) -> bool:
-        """Tell whether an end of a run waits to be acknowledged."""
+        """Return whether an end of a run awaits acknowledgement."""
         return any((r.task, r.run) == key for r in self.ended.values())
 
-    def has_room(self) -> bool:
-        """Tell whether all runs and open orders fit the capacity."""
+    def fits_capacity(self) -> bool:
+        """Return whether all runs and pending orders fit the capacity."""
         return specification.Size().fits(self.measure_free())
 
     def measure_free(self) -> specification.Size:
-        """Return the capacity that no run and no open order takes."""
+        """Return the capacity not taken by runs or pending orders."""
         free = self.heartbeat.capacity
         for key in self.running.keys() | self.pending.keys():
             free = free - self.sizes.get(key, specification.Size())
--- a/src/persimmonsail/jobs/lifereport.py
+++ b/src/persimmonsail/jobs/lifereport.py
@@ -1,17 +1,21 @@
-"""What a sidecar reports of a life of its worker's agent."""
+"""Conversion between an agent's incarnation and protocol messages."""
 
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as life_module
+from persimmonsail.jobs import life as incarnation_module
 from persimmonsail.jobs import specification
 
 
-def fill(report: fleet_pb2.Report, life: life_module.Life, now: float) -> None:
-    """Say how a life is, and what runs and has ended there."""
-    heartbeat = life.heartbeat
-    report.boot = life.boot
-    report.silent_seconds = now - life.answered_at
-    report.lapsed = life.is_lapsed(now)
-    report.looked = life.looked
+def fill_report(
+    report: fleet_pb2.Report,
+    incarnation: incarnation_module.Incarnation,
+    now: float,
+) -> None:
+    """Fill in an incarnation's state and its running and ended runs."""
+    heartbeat = incarnation.heartbeat
+    report.boot = incarnation.boot
+    report.silent_seconds = now - incarnation.answered_at
+    report.lapsed = incarnation.is_lapsed(now)
+    report.looked = incarnation.polled
     report.service = heartbeat.service
     report.rack = heartbeat.rack
     report.labels.extend(heartbeat.labels)
@@ -20,7 +24,7 @@
     report.capacity.accelerators = heartbeat.capacity.accelerators
     report.leaving = heartbeat.leaving
     report.remaining_seconds = heartbeat.remaining_seconds
-    for row in life.running.values():
+    for row in incarnation.running.values():
         report.running.add(
             task=row.task,
             run=row.run,
@@ -28,7 +32,7 @@
             percent=row.percent,
             gauge=row.gauge,
         )
-    for ended in life.ended.values():
+    for ended in incarnation.ended.values():
         report.ended.add(
             number=ended.number,
             task=ended.task,
@@ -36,14 +40,14 @@
             how=ended.how,
             checkpoint=ended.checkpoint,
         )
-    for task, run in life.pending:
+    for task, run in incarnation.pending:
         report.pending.add(task=task, run=run)
 
 
 def fill_crash(
-    row: fleet_pb2.Crash, crash: life_module.Crash, now: float
+    row: fleet_pb2.Crash, crash: incarnation_module.Crash, now: float
 ) -> None:
-    """Say what was there when a life ended unasked."""
+    """Fill in a crash and the runs that were there."""
     row.boot = crash.boot
     row.ago_seconds = now - crash.alive_at
     for run in crash.runs:
@@ -51,7 +55,7 @@
 
 
 def read_size(size: fleet_pb2.Size) -> specification.Size:
-    """Return a size that a leader has sent."""
+    """Convert a size that a leader has sent."""
     return specification.Size(
         size.millicores, size.memory_mib, size.accelerators
     )
--- a/src/persimmonsail/jobs/orders.py
+++ b/src/persimmonsail/jobs/orders.py
@@ -1,4 +1,4 @@
-"""Carrying out a leader's orders at the worker's agent."""
+"""Execution of a leader's orders through the worker's agent."""
 
 import dataclasses
 import typing as t
@@ -8,93 +8,99 @@
 from persimmonsail import exceptions
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as life_module
+from persimmonsail.jobs import life as incarnation_module
 from persimmonsail.jobs import worker as worker_module
 from persimmonsail import logs
 
 _RETRY_SECONDS = 0.1
-# An order that a worker leaves unanswered is repeated at once; the
-# repetition finds what the first one started.
-_ORDER_PAUSE_SECONDS = 0.03
-# Leases are extended twice a second, so that a worker's agent has them until
-# so long before the end that the leader allows.
-_LAG_SECONDS = 1.0
-# Why a start is not carried out any more whose deadline is over.
+# An unanswered start is retried almost immediately; the retry finds the run
+# that the first attempt started.
+_ORDER_RETRY_SECONDS = 0.03
+# Leases are extended twice a second, so those that a worker's agent holds end
+# at most this long before the limit that the leader allows.
+_MAX_EXTENSION_LAG_SECONDS = 1.0
+# Reason given for a start whose deadline has passed.
 EXPIRED = 'expired'
 
 
 def is_expired(start: fleet_pb2.Start, now: float) -> bool:
-    """Tell whether a run may not begin any more."""
+    """Return whether the deadline of a start has passed."""
     return bool(start.deadline) and now >= start.deadline
 
 
 @dataclasses.dataclass
 class Authority:
-    """What the latest leader allows.
+    """The authority granted by the latest leader.
 
     Attributes
     ----------
     epoch : int
-        Its term.
+        The leader's term.
     until : float
-        Until when leases may be granted, on ``clock``.
+        Time up to which leases may be granted, on ``clock``.
     """
 
     epoch: int = 0
     until: float = 0.0
 
 
-class Orders:
-    """Starts, stops and paces runs, and reads what became of them.
+class Executor:
+    """Starts, stops and throttles runs, and polls their state.
 
     Parameters
     ----------
     worker : persimmonsail.jobs.worker.Worker
-        The worker's agent.
+        Client of the worker's agent.
     authority : Authority
-        Shared with whoever listens to the leader.
-    on_over : callable
+        Updated by the owner as the leader's orders arrive.
+    on_boot_ended : callable
         Called with a boot that has ended.
     on_barred : callable
         Called with task, run and reason of a run that never starts.
     on_change : callable
-        Called when runs or ends have changed.
-    on_lease : callable
-        Called when leases should be extended at once.
+        Called when the running or ended runs have changed.
+    on_renewal_due : callable
+        Called when leases should be extended immediately.
     """
 
     def __init__(
         self,
         worker: worker_module.Worker,
         authority: Authority,
-        on_over: t.Callable[[str], None],
+        on_boot_ended: t.Callable[[str], None],
         on_barred: t.Callable[[str, int, str], None],
         on_change: t.Callable[[], None],
-        on_lease: t.Callable[[], None],
+        on_renewal_due: t.Callable[[], None],
     ) -> None:
         self._worker = worker
         self._authority = authority
-        self._on_over = on_over
+        self._on_boot_ended = on_boot_ended
         self._on_barred = on_barred
         self._on_change = on_change
-        self._on_lease = on_lease
+        self._on_renewal_due = on_renewal_due
 
     async def start(
-        self, life: life_module.Life, start: fleet_pb2.Start
+        self,
+        incarnation: incarnation_module.Incarnation,
+        start: fleet_pb2.Start,
     ) -> None:
-        """Start a run; tell the leader if it never starts."""
+        """Start a run; report it to the leader if it never starts."""
         key = (start.task, start.run)
         unanswered = False
         ordered_at = clock.read()
-        tries = 0
-        while not life.over and key not in life.stopping:
+        attempts = 0
+        while not incarnation.terminated and key not in incarnation.stopping:
             now = clock.read()
-            obstacle = self._find_obstacle(life, start, unanswered)
-            if obstacle:
-                await self._settle(life, key, obstacle, unanswered)
+            refusal = self._find_refusal(incarnation, start, unanswered)
+            if refusal:
+                await self._settle_refusal(
+                    incarnation, key, refusal, unanswered
+                )
                 return
-            until = life.to_agent_clock(self._limit(start))
-            life.granted_until = max(life.granted_until, self._authority.until)
+            until = incarnation.to_agent_clock(self._get_begin_limit(start))
+            incarnation.granted_until = max(
+                incarnation.granted_until, self._authority.until
+            )
             order = worker_module.StartOrder(
                 start.task,
                 start.run,
@@ -103,23 +109,27 @@
                 until,
                 start.ticket,
             )
-            tries += 1
+            attempts += 1
             try:
                 clock_ms = await self._worker.start(
-                    life.boot, self._authority.epoch, order
+                    incarnation.boot, self._authority.epoch, order
                 )
             except exceptions.WorkerBootChanged:
-                self._on_over(life.boot)
+                self._on_boot_ended(incarnation.boot)
                 return
             except exceptions.OrderRefused as error:
-                life.note_answer(clock.read())
+                incarnation.note_answer(clock.read())
                 if not unanswered:
-                    life.note_unsent(key)
-                await self._settle(life, key, error.reason, unanswered)
+                    incarnation.discard_start(key)
+                await self._settle_refusal(
+                    incarnation, key, error.reason, unanswered
+                )
                 return
             except exceptions.WorkerNotReached as error:
                 if not unanswered:
-                    await self._settle(life, key, str(error), unanswered)
+                    await self._settle_refusal(
+                        incarnation, key, str(error), unanswered
+                    )
                     return
                 await anyio.sleep(_RETRY_SECONDS)
                 continue
@@ -132,81 +142,89 @@
                         error=error,
                     )
                 unanswered = True
-                life.note_unanswered(key, now)
-                life.note_silence(clock.read())
-                await anyio.sleep(_ORDER_PAUSE_SECONDS)
+                incarnation.note_unanswered_start(key, now)
+                incarnation.note_unanswered_call(clock.read())
+                await anyio.sleep(_ORDER_RETRY_SECONDS)
                 continue
-            life.note_sent(key, now)
-            life.note_started(order, clock_ms, clock.read())
+            incarnation.note_start_sent(key, now)
+            incarnation.note_start_answered(order, clock_ms, clock.read())
             logs.write_event(
                 'started',
                 task=start.task,
                 run=start.run,
                 ordered_seconds=clock.read() - ordered_at,
-                tries=tries,
+                tries=attempts,
             )
-            await self._follow_start(life, start)
+            await self._handle_answered_start(incarnation, start)
             return
 
-    async def _follow_start(
-        self, life: life_module.Life, start: fleet_pb2.Start
+    async def _handle_answered_start(
+        self,
+        incarnation: incarnation_module.Incarnation,
+        start: fleet_pb2.Start,
     ) -> None:
-        """Do what follows from a start that was answered."""
-        life.note_answer(clock.read())
-        life.pending.pop((start.task, start.run), None)
-        if life.extended_until < self._authority.until - _LAG_SECONDS:
-            # The agent has no more lease than the order had left, and what
-            # began would end with that if this sidecar did.
-            self._on_lease()
+        """Update the state after a start was answered."""
+        incarnation.note_answer(clock.read())
+        incarnation.pending.pop((start.task, start.run), None)
+        if (
+            incarnation.extended_until
+            < self._authority.until - _MAX_EXTENSION_LAG_SECONDS
+        ):
+            # The run's lease is only as long as the start order allowed;
+            # if this sidecar failed now, the run would end with it.
+            self._on_renewal_due()
         if start.HasField('percent'):
-            # At once: a run that begins at full speed is felt by what
-            # serves beside it until the leader's first look.
+            # Immediately: at full speed the run would interfere with
+            # colocated serving tasks until the leader's first decision.
             pace = fleet_pb2.Pace(
                 task=start.task, run=start.run, percent=start.percent
             )
-            await self.set_pace(life, pace)
+            await self.set_pace(incarnation, pace)
         self._on_change()
 
-    def _find_obstacle(
-        self, life: life_module.Life, start: fleet_pb2.Start, repeated: bool
+    def _find_refusal(
+        self,
+        incarnation: incarnation_module.Incarnation,
+        start: fleet_pb2.Start,
+        repeated: bool,
     ) -> str:
-        """Return why a start may not be sent now; nothing if it may."""
+        """Return why a start may not be sent now; empty if it may."""
         now = clock.read()
-        # Without the leader's word no lease can be granted.
-        if self._authority.until <= now or not life.knows_agent_clock:
+        # Without the leader's authority no lease can be granted.
+        if self._authority.until <= now or not incarnation.knows_agent_clock:
             return 'no-authority'
         if is_expired(start, now):
             return EXPIRED
-        # The instance may have changed since the order came, and its agent
-        # starts whatever it is told to.
-        if repeated and life.heartbeat.leaving:
+        # The instance may have changed since the order arrived, and its
+        # agent starts whatever it is ordered to.
+        if repeated and incarnation.heartbeat.leaving:
             return 'leaving'
-        if repeated and not life.has_room():
+        if repeated and not incarnation.fits_capacity():
             return 'room'
         return ''
 
-    def _limit(self, start: fleet_pb2.Start) -> float:
-        """Return until when the agent may begin a run, on ``clock``.
+    def _get_begin_limit(self, start: fleet_pb2.Start) -> float:
+        """Return the time until which a run may begin, on ``clock``.
 
-        The agent checks it last, however late the order comes to it; leases
-        are extended beyond it as usual.
+        The agent checks it when the order arrives, however late; leases are
+        extended beyond it as usual.
         """
         if not start.deadline:
             return self._authority.until
         return min(self._authority.until, start.deadline)
 
-    async def _settle(
+    async def _settle_refusal(
         self,
-        life: life_module.Life,
-        key: life_module.RunId,
+        incarnation: incarnation_module.Incarnation,
+        key: incarnation_module.RunId,
         reason: str,
         unanswered: bool,
     ) -> None:
-        """Tell the leader that a run never starts, once that is certain.
+        """Report to the leader that a run never starts, once certain.
 
-        An order without an answer may be carried out seconds later. Only
-        a stop that was answered keeps it from starting then; without it
-        the leader would start the task elsewhere and it would run twice.
+        An unanswered start may be executed seconds later. Only an answered
+        stop prevents that; without it the leader would start the task
+        elsewhere and it would run twice.
         """
         task, run = key
         logs.write_event(
@@ -217,34 +235,38 @@
             settled=not unanswered,
         )
         if unanswered:
-            await self.stop(life, key)
+            await self.stop(incarnation, key)
             return
-        life.pending.pop(key, None)
+        incarnation.pending.pop(key, None)
         self._on_barred(task, run, reason)
 
     async def stop(
-        self, life: life_module.Life, key: life_module.RunId
+        self,
+        incarnation: incarnation_module.Incarnation,
+        key: incarnation_module.RunId,
     ) -> None:
-        """Stop a run, or bar it, until the agent has answered."""
-        life.stopping.add(key)
+        """Stop a run or bar its start, retrying until it is answered."""
+        incarnation.stopping.add(key)
         try:
-            await self._stop_until_settled(life, key)
+            await self._stop_until_settled(incarnation, key)
         finally:
-            life.stopping.discard(key)
+            incarnation.stopping.discard(key)
 
     async def _stop_until_settled(
-        self, life: life_module.Life, key: life_module.RunId
+        self,
+        incarnation: incarnation_module.Incarnation,
+        key: incarnation_module.RunId,
     ) -> None:
         task, run = key
         failures = 0
-        while not life.over:
+        while not incarnation.terminated:
             try:
                 await self._worker.stop(
-                    life.boot, self._authority.epoch, task, run
+                    incarnation.boot, self._authority.epoch, task, run
                 )
-                await self.look(life)
+                await self.poll(incarnation)
             except exceptions.WorkerBootChanged:
-                self._on_over(life.boot)
+                self._on_boot_ended(incarnation.boot)
                 return
             except exceptions.OrderRefused as error:
                 logs.write_event(
@@ -260,74 +282,82 @@
                     )
                 await anyio.sleep(_RETRY_SECONDS)
                 continue
-            if key not in life.running:
+            if key not in incarnation.running:
                 break
             await anyio.sleep(_RETRY_SECONDS)
-        life.pending.pop(key, None)
+        incarnation.pending.pop(key, None)
         logs.write_event('stopped-run', task=task, run=run)
-        if not life.has_ended(key):
-            life.note_unsent(key)
+        if not incarnation.has_ended(key):
+            incarnation.discard_start(key)
             self._on_barred(task, run, 'absent')
         self._on_change()
 
     async def set_pace(
-        self, life: life_module.Life, pace: fleet_pb2.Pace
+        self, incarnation: incarnation_module.Incarnation, pace: fleet_pb2.Pace
     ) -> None:
-        """Tell the agent a run's pace, once."""
+        """Send a run's speed limit to the agent, without retrying."""
         try:
             await self._worker.set_pace(
-                life.boot,
+                incarnation.boot,
                 self._authority.epoch,
                 pace.task,
                 pace.run,
                 pace.percent,
             )
         except exceptions.WorkerBootChanged:
-            self._on_over(life.boot)
+            self._on_boot_ended(incarnation.boot)
         except (
             exceptions.OrderRefused,
             exceptions.WorkerUnavailable,
         ) as error:
-            # The leader sends it again while the gauges ask for it.
+            # The leader sends it again as long as the gauges require it.
             logs.write_event('pace-failed', task=pace.task, error=error)
 
-    async def look(
-        self, life: life_module.Life, extend: bool = False, wait: float = 0.0
+    async def poll(
+        self,
+        incarnation: incarnation_module.Incarnation,
+        extend: bool = False,
+        wait: float = 0.0,
     ) -> None:
-        """Read what runs and what ended; extend leases if asked to.
+        """Poll running and ended runs; extend leases if requested.
 
         Parameters
         ----------
-        life : persimmonsail.jobs.life.Life
-            The boot that is meant.
+        incarnation : persimmonsail.jobs.life.Incarnation
+            The agent's incarnation to poll.
         extend : bool
             Whether leases are extended as far as the leader allows.
         wait : float
-            Seconds to wait for a further end.
+            Seconds to wait for another run to end.
         """
         until = None
         now = clock.read()
-        silent = now - life.answered_at > life_module.SILENT_SECONDS
-        if extend and not silent and self._authority.until > now:
+        unreachable = (
+            now - incarnation.answered_at
+            > incarnation_module.UNREACHABLE_SECONDS
+        )
+        if extend and not unreachable and self._authority.until > now:
             allowed = self._authority.until
-            until = life.to_agent_clock(allowed)
-            life.granted_until = max(life.granted_until, allowed)
+            until = incarnation.to_agent_clock(allowed)
+            incarnation.granted_until = max(incarnation.granted_until, allowed)
         epoch = self._authority.epoch
-        look = await self._worker.look(
-            life.boot, epoch, life.acknowledged, until, wait
+        snapshot = await self._worker.look(
+            incarnation.boot, epoch, incarnation.acknowledged, until, wait
         )
-        life.fenced_epoch = max(life.fenced_epoch, epoch)
-        life.note_answer(clock.read())
+        incarnation.fenced_epoch = max(incarnation.fenced_epoch, epoch)
+        incarnation.note_answer(clock.read())
         if until is not None:
-            life.extended_until = max(life.extended_until, allowed)
-        if life.failing:
-            life.failing = False
-            logs.write_event('worker-regained', boot=life.boot)
-            self._on_lease()
-        first = not life.looked
-        if life.note_look(look, clock.read()):
+            incarnation.extended_until = max(
+                incarnation.extended_until, allowed
+            )
+        if incarnation.failing:
+            incarnation.failing = False
+            logs.write_event('worker-regained', boot=incarnation.boot)
+            self._on_renewal_due()
+        first_poll = not incarnation.polled
+        if incarnation.apply_snapshot(snapshot, clock.read()):
             self._on_change()
-        if first:
+        if first_poll:
             # The agent's clock is known from now on, so leases can be
-            # extended at once.
-            self._on_lease()
+            # extended immediately.
+            self._on_renewal_due()
--- a/tests/jobs/test_agent.py
+++ b/tests/jobs/test_agent.py
@@ -11,28 +11,28 @@
 from tests import base
 
 
-def beat(boot, sequence=1) -> worker.Heartbeat:
+def make_heartbeat(boot, sequence=1) -> worker.Heartbeat:
     return worker.Heartbeat(boot=boot, sequence=sequence, service='planner')
 
 
 class IdleWorker:
-    """A worker's agent that runs nothing, and notes renewals of leases."""
+    """A worker's agent that runs nothing and records lease renewals."""
 
     def __init__(self):
-        self.renewed = []
-        self.told = []
+        self.renewed_at = []
+        self.calls = []
 
     async def start(self, boot, epoch, order):
-        self.told.append('start')
+        self.calls.append('start')
         return round(clock.read() * 1000)
 
     async def stop(self, boot, epoch, task, run):
-        self.told.append('stop')
+        self.calls.append('stop')
 
     async def look(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
         await anyio.sleep(wait)
         if until_ms is not None:
-            self.renewed.append(clock.read())
+            self.renewed_at.append(clock.read())
         return worker.Look(round(clock.read() * 1000), (), ())
 
 
@@ -43,73 +43,73 @@
 
     @property
     def boot(self):
-        life = self.agent._life
-        return life.boot if life else ''
+        incarnation = self.agent._incarnation
+        return incarnation.boot if incarnation else ''
 
     def test_a_late_heartbeat_ends_no_boot(self):
-        """A watcher runs twice after a cut.
+        """A long-running task runs twice after a network partition.
 
-        A heartbeat of an earlier boot arrives after the cut, at a
-        sidecar that was restarted and never knew that boot; the boot
-        that runs is taken for ended, and its watcher started elsewhere.
+        A delayed heartbeat of an earlier boot reaches a restarted sidecar
+        that never knew that boot; the current boot is considered ended, and
+        its task is started elsewhere.
         """
-        self.agent.note_heartbeat(beat('new', 5))
-        self.agent.note_heartbeat(beat('old', 9))
+        self.agent.note_heartbeat(make_heartbeat('new', 5))
+        self.agent.note_heartbeat(make_heartbeat('old', 9))
         self.assertEqual('new', self.boot)
-        self.assertEqual([], self.agent._over)
+        self.assertEqual([], self.agent._ended_boots)
 
     def test_a_successor_takes_over_once_the_boot_has_ended(self):
-        self.agent.note_heartbeat(beat('first'))
-        self.agent.note_heartbeat(beat('second'))
+        self.agent.note_heartbeat(make_heartbeat('first'))
+        self.agent.note_heartbeat(make_heartbeat('second'))
         self.agent.note_boot_over('first')
         self.assertEqual('second', self.boot)
-        self.agent.note_heartbeat(beat('first', 2))
+        self.agent.note_heartbeat(make_heartbeat('first', 2))
         self.assertEqual('second', self.boot)
 
     def test_an_earlier_heartbeat_changes_nothing(self):
-        self.agent.note_heartbeat(beat('first', 5))
-        self.agent.note_heartbeat(beat('first', 4))
-        self.assertEqual(5, self.agent._life.heartbeat.sequence)
+        self.agent.note_heartbeat(make_heartbeat('first', 5))
+        self.agent.note_heartbeat(make_heartbeat('first', 4))
+        self.assertEqual(5, self.agent._incarnation.heartbeat.sequence)
 
-    def test_a_boot_that_left_is_not_known_any_more(self):
-        self.agent.note_heartbeat(beat('first'))
+    def test_an_ended_boot_is_forgotten(self):
+        self.agent.note_heartbeat(make_heartbeat('first'))
         self.agent.note_boot_over('first')
         self.assertEqual('', self.boot)
 
-    async def test_an_order_that_was_held_up_is_not_carried_out(self):
-        """A task begins seconds after its cancel, by a sidecar that woke."""
-        self.agent.note_heartbeat(beat('first'))
+    async def test_a_delayed_order_is_not_executed(self):
+        """A resumed sidecar starts a task seconds after its cancel."""
+        self.agent.note_heartbeat(make_heartbeat('first'))
         link = self.agent._link = agent._Link()
         orders = fleet_pb2.Orders(sequence=1)
         orders.starts.add(
             task='a.0.0.0', run=1, boot='first', deadline=clock.read() - 0.01
         )
-        self.agent._take(link, orders)
+        self.agent._apply_orders(link, orders)
         self.assertEqual(['expired'], [row.reason for row in link.barred])
 
-    async def test_a_start_that_comes_with_its_stop_is_not_carried_out(self):
-        """A cancelled task begins: its start came with the stop of it."""
-        own_worker = IdleWorker()
-        own = agent.Agent(own_worker, 6.0)
-        own.note_heartbeat(beat('first'))
-        own._authority.until = clock.read() + 60.0
+    async def test_a_start_sent_with_its_stop_is_not_executed(self):
+        """A cancelled task starts: its start arrived with its stop."""
+        idle_worker = IdleWorker()
+        sidecar_agent = agent.Agent(idle_worker, 6.0)
+        sidecar_agent.note_heartbeat(make_heartbeat('first'))
+        sidecar_agent._authority.until = clock.read() + 60.0
         orders = fleet_pb2.Orders(sequence=1)
         orders.starts.add(task='a.0.0.0', run=1, boot='first')
         orders.stops.add(task='a.0.0.0', run=1)
-        link = own._link = agent._Link()
+        link = sidecar_agent._link = agent._Link()
         with anyio.fail_after(20.0):
             async with anyio.create_task_group() as group:
-                own._group = group
-                await own._orders.look(own._life)
-                own._take(link, orders)
-        self.assertEqual(['stop'], own_worker.told)
+                sidecar_agent._group = group
+                await sidecar_agent._executor.poll(sidecar_agent._incarnation)
+                sidecar_agent._apply_orders(link, orders)
+        self.assertEqual(['stop'], idle_worker.calls)
         self.assertEqual(['absent'], [row.reason for row in link.barred])
 
-    def test_only_an_end_that_nobody_asked_for_is_a_crash(self):
-        leaving = dataclasses.replace(beat('third'), leaving=True)
-        self.agent.note_heartbeat(beat('first'))
+    def test_only_an_unannounced_end_is_a_crash(self):
+        leaving = dataclasses.replace(make_heartbeat('third'), leaving=True)
+        self.agent.note_heartbeat(make_heartbeat('first'))
         self.agent.note_boot_over('first')
-        self.agent.note_heartbeat(beat('second'))
+        self.agent.note_heartbeat(make_heartbeat('second'))
         self.agent.note_boot_over('second', asked=True)
         self.agent.note_heartbeat(leaving)
         self.agent.note_boot_over('third')
@@ -117,33 +117,35 @@
             ['first'], [crash.boot for crash in self.agent._crashes]
         )
 
-    def test_an_agent_behind_a_cut_link_lives_while_it_sends_heartbeats(self):
-        """An innocent is blamed for a loss of all agents at one moment."""
-        self.agent.note_heartbeat(beat('first'))
-        self.agent._life.note_silence(clock.read())
-        heard_at = clock.read()
-        self.agent.note_heartbeat(beat('first', 2))
+    def test_an_agent_behind_a_cut_link_is_alive_while_it_sends_heartbeats(
+        self,
+    ):
+        """A harmless task is blamed when all agents end simultaneously."""
+        self.agent.note_heartbeat(make_heartbeat('first'))
+        self.agent._incarnation.note_unanswered_call(clock.read())
+        received_at = clock.read()
+        self.agent.note_heartbeat(make_heartbeat('first', 2))
         self.agent.note_boot_over('first')
         (crash,) = self.agent._crashes
-        self.assertGreaterEqual(crash.failed_at, heard_at)
+        self.assertGreaterEqual(crash.failed_at, received_at)
 
     async def test_short_leases_are_renewed_more_often(self):
-        """Builds run anew beside load wherever leases last for a second.
+        """Under load, builds with leases of 1 s are started again.
 
-        They were renewed each 0.45 s, by a word of the leader as old as
-        that; a renewal that was 0.15 s late came after the lease.
+        Leases were renewed every 0.45 s, with a message of the leader up to
+        as old; a renewal that was 0.15 s late came after the lease's end.
         """
-        own_worker = IdleWorker()
-        own = agent.Agent(own_worker, 1.0)
-        own.note_heartbeat(beat('first'))
-        own._authority.until = clock.read() + 60.0
+        idle_worker = IdleWorker()
+        sidecar_agent = agent.Agent(idle_worker, 1.0)
+        sidecar_agent.note_heartbeat(make_heartbeat('first'))
+        sidecar_agent._authority.until = clock.read() + 60.0
         with anyio.fail_after(20.0):
             async with anyio.create_task_group() as group:
-                group.start_soon(own.run)
-                while len(own_worker.renewed) < 10:  # noqa: ASYNC110
+                group.start_soon(sidecar_agent.run)
+                while len(idle_worker.renewed_at) < 10:  # noqa: ASYNC110
                     await anyio.sleep(0.05)
                 group.cancel_scope.cancel()
-        times = own_worker.renewed
+        times = idle_worker.renewed_at
         gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
         self.assertLess(statistics.median(gaps), 0.3)
 
--- a/tests/jobs/test_orders.py
+++ b/tests/jobs/test_orders.py
@@ -5,7 +5,7 @@
 from persimmonsail import exceptions
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as life_module
+from persimmonsail.jobs import life as incarnation_module
 from persimmonsail.jobs import orders
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import worker
@@ -24,125 +24,125 @@
 class SlowWorker:
     """A worker's agent that leaves the first start unanswered."""
 
-    def __init__(self, on_lost):
-        self.on_lost = on_lost
-        self.told = []
-        self.untils = []
+    def __init__(self, on_unanswered):
+        self.on_unanswered = on_unanswered
+        self.calls = []
+        self.limits_ms = []
 
     async def start(self, boot, epoch, order):
-        self.told.append('start')
-        self.untils.append(order.until_ms)
-        if len(self.told) == 1:
-            self.on_lost()
+        self.calls.append('start')
+        self.limits_ms.append(order.until_ms)
+        if len(self.calls) == 1:
+            self.on_unanswered()
             raise exceptions.WorkerUnavailable('no answer')
         return round(clock.read() * 1000)
 
     async def stop(self, boot, epoch, task, run):
-        self.told.append('stop')
+        self.calls.append('stop')
 
     async def look(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
         return worker.Look(round(clock.read() * 1000), (), ())
 
 
 class SilentWorker(SlowWorker):
-    """One that answers its third stop, and nothing before."""
+    """A worker's agent that answers its third stop, and nothing before."""
 
     async def start(self, boot, epoch, order):
-        self.told.append('start')
-        self.on_lost()
+        self.calls.append('start')
+        self.on_unanswered()
         await anyio.sleep(0.01)
         raise exceptions.WorkerUnavailable('no answer')
 
     async def stop(self, boot, epoch, task, run):
-        self.told.append('stop')
-        if self.told.count('stop') < 3:
+        self.calls.append('stop')
+        if self.calls.count('stop') < 3:
             raise exceptions.WorkerUnavailable('no answer')
 
 
 class OrdersTest(base.TestCase):
     def setUp(self):
         super().setUp()
-        self.life = life_module.Life(BOOT, clock.read())
-        self.life.note_clock(1000, clock.read())
-        self.life.sizes[KEY] = specification.Size(3000, 100)
-        self.life.pending[KEY] = self.life.sizes[KEY]
+        self.incarnation = incarnation_module.Incarnation(BOOT, clock.read())
+        self.incarnation.note_clock(1000, clock.read())
+        self.incarnation.sizes[KEY] = specification.Size(3000, 100)
+        self.incarnation.pending[KEY] = self.incarnation.sizes[KEY]
         self.barred = []
 
-    def make_orders(self, own):
+    def make_executor(self, fake_worker):
         authority = orders.Authority(1, clock.read() + LEASE_SECONDS)
-        return orders.Orders(
-            own,
+        return orders.Executor(
+            fake_worker,
             authority,
-            on_over=lambda boot: None,
+            on_boot_ended=lambda boot: None,
             on_barred=lambda *row: self.barred.append(row),
             on_change=lambda: None,
-            on_lease=lambda: None,
+            on_renewal_due=lambda: None,
         )
 
-    async def order(self, on_lost, **fields):
+    async def send_start(self, on_unanswered, **fields):
         """Order a start whose first call gets no answer."""
-        own = SlowWorker(on_lost)
-        ours = self.make_orders(own)
+        fake_worker = SlowWorker(on_unanswered)
+        executor = self.make_executor(fake_worker)
         start = fleet_pb2.Start(task=KEY[0], run=KEY[1], **fields)
-        self.untils = own.untils
-        await ours.start(self.life, start)
-        return own.told
+        self.limits_ms = fake_worker.limits_ms
+        await executor.start(self.incarnation, start)
+        return fake_worker.calls
 
-    def shrink(self):
-        self.life.heartbeat = dataclasses.replace(
+    def shrink_capacity(self):
+        self.incarnation.heartbeat = dataclasses.replace(
             BOOT, sequence=2, capacity=specification.Size(2000, 1000)
         )
 
     async def test_a_start_without_an_answer_is_sent_again(self):
-        told = await self.order(lambda: None)
-        self.assertEqual(['start', 'start'], told)
+        calls = await self.send_start(lambda: None)
+        self.assertEqual(['start', 'start'], calls)
 
-    def leave(self):
-        self.life.heartbeat = dataclasses.replace(
+    def start_leaving(self):
+        self.incarnation.heartbeat = dataclasses.replace(
             BOOT, sequence=2, leaving=True
         )
 
-    async def test_it_is_not_sent_again_to_an_agent_that_leaves(self):
-        """An instance that drains is given work, by an order repeated."""
-        told = await self.order(self.leave)
-        self.assertEqual(['start', 'stop'], told)
+    async def test_it_is_not_sent_again_to_a_leaving_agent(self):
+        """A retried start gives work to a draining instance."""
+        calls = await self.send_start(self.start_leaving)
+        self.assertEqual(['start', 'stop'], calls)
         self.assertEqual([(*KEY, 'absent')], self.barred)
 
-    async def test_a_stop_ends_the_repetition_of_its_start(self):
-        """A cancelled task begins as its agent answers the start first."""
-        asked = anyio.Event()
-        own = SilentWorker(asked.set)
-        ours = self.make_orders(own)
+    async def test_a_stop_ends_the_retries_of_its_start(self):
+        """A cancelled task starts: its start is answered before its stop."""
+        start_called = anyio.Event()
+        fake_worker = SilentWorker(start_called.set)
+        executor = self.make_executor(fake_worker)
         start = fleet_pb2.Start(task=KEY[0], run=KEY[1])
         with anyio.fail_after(20.0):
             async with anyio.create_task_group() as group:
-                group.start_soon(ours.start, self.life, start)
-                await asked.wait()
-                await ours.stop(self.life, KEY)
-        self.assertEqual(['start', 'stop', 'stop', 'stop'], own.told)
+                group.start_soon(executor.start, self.incarnation, start)
+                await start_called.wait()
+                await executor.stop(self.incarnation, KEY)
+        self.assertEqual(['start', 'stop', 'stop', 'stop'], fake_worker.calls)
         self.assertEqual([(*KEY, 'absent')], self.barred)
 
     async def test_it_is_not_sent_again_after_its_deadline(self):
-        """A task begins seconds after its cancel, by an order repeated."""
+        """A retried order starts a task seconds after its cancel."""
         deadline = clock.read() + 0.02
-        told = await self.order(lambda: None, deadline=deadline)
-        self.assertEqual(['start', 'stop'], told)
+        calls = await self.send_start(lambda: None, deadline=deadline)
+        self.assertEqual(['start', 'stop'], calls)
         self.assertEqual([(*KEY, 'absent')], self.barred)
 
-    async def test_the_agent_is_told_until_when_it_may_begin(self):
-        """A task begins seconds after its cancel, by a call held up."""
+    async def test_the_agent_gets_the_start_deadline(self):
+        """A delayed call starts a task seconds after its cancel."""
         begun = clock.read()
-        self.life.note_clock(1001, begun)
-        await self.order(lambda: None, deadline=begun + 2.0)
-        self.assertEqual([1001 + 2000] * 2, self.untils)
+        self.incarnation.note_clock(1001, begun)
+        await self.send_start(lambda: None, deadline=begun + 2.0)
+        self.assertEqual([1001 + 2000] * 2, self.limits_ms)
 
-    async def test_it_is_not_sent_again_into_a_room_that_has_shrunk(self):
-        """An instance is brought over its capacity by an order repeated.
+    async def test_it_is_not_sent_again_after_capacity_has_shrunk(self):
+        """A retried start puts an instance over its capacity.
 
-        It had room when the order came, and none when the order, which had
-        got no answer, was sent once more. Only a stop makes certain that
-        the first one does no harm either.
+        It had free capacity when the order arrived, and none when the
+        unanswered start was sent again. Only a stop ensures that the first
+        attempt has no effect either.
         """
-        told = await self.order(self.shrink)
-        self.assertEqual(['start', 'stop'], told)
+        calls = await self.send_start(self.shrink_capacity)
+        self.assertEqual(['start', 'stop'], calls)
         self.assertEqual([(*KEY, 'absent')], self.barred)
