--- a/src/persimmonsail/jobs/clock.py
+++ b/src/persimmonsail/jobs/clock.py
@@ -1,13 +1,12 @@
-"""The clock that leases and authority are counted on."""
+"""The clock that leases and leaders' authority are measured on."""
 
 import time
 
 
 def read() -> float:
-    """Return seconds since the machine began, its suspensions too.
+    """Return seconds since the machine booted, including suspensions.
 
-    The monotonic clock stands still while a machine is suspended: a
-    holder that was suspended for longer than its lease would take the
-    lease for good.
+    The monotonic clock stops while a machine is suspended: a holder that
+    was suspended for longer than its lease would consider the lease valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/persimmonsail/jobs/fleet.py
+++ b/src/persimmonsail/jobs/fleet.py
@@ -1,4 +1,4 @@
-"""The leader's instances: their links, and the orders that go there."""
+"""The leader's instances, their links and the orders sent to them."""
 
 import typing as t
 
@@ -16,34 +16,34 @@
 from persimmonsail.jobs import suspects
 from persimmonsail import logs
 
-# A leader without the store goes on renewing what runs for so long; no
-# outage seen is longer. A successor waits it out before it starts work
-# elsewhere that an instance out of its reach may still run.
-KNOWLEDGE_SECONDS = 8.0
-# Callers are promised that nothing of a job begins later than 3 s after its
-# cancel was acknowledged, whoever is slow meanwhile. So a start is carried out
-# within this time of the moment at which its job was known not to be
-# cancelled, or not at all; the rest is for a worker's clock that is slow.
-_ORDER_SECONDS = 2.5
-# The worker's clock may be slow by 2% of a lease, and it notices the end
-# of a lease a little late.
-_DRIFT = 0.02
-_MARGIN_SECONDS = 0.4
+# A leader that can't reach the store continues to renew leases for this long;
+# no observed outage is longer. A successor waits this time before it starts
+# work elsewhere that an unreachable instance may still run.
+LEADERSHIP_GRACE_SECONDS = 8.0
+# Callers are promised that no task of a job begins later than 3 s after its
+# cancel was acknowledged, despite any delay in between. A start is therefore
+# executed within this time after its job was last known not to be cancelled,
+# or not at all; the difference allows for a worker's slow clock.
+_START_DEADLINE_SECONDS = 2.5
+# The worker's clock may be slow by 2% of a lease, and it detects the end of a
+# lease slightly late.
+_CLOCK_DRIFT = 0.02
+_LAPSE_MARGIN_SECONDS = 0.4
 
 
 class Fleet:
-    """Keeps a link to every instance, and sends orders over it.
+    """Maintains a link to every instance and sends orders over it.
 
     Parameters
     ----------
     ledger : persimmonsail.jobs.ledger.Ledger
-        This term's writes; says when the leader last knew that it leads.
+        This term's writes, and when leadership was last confirmed.
     lease_seconds : float
-        How long runs go on after the leader's last word.
+        How long runs continue after the leader's last message.
     reader : persimmonsail.jobs.reports.Reader
-        Takes the sidecars' reports in.
+        Processes the sidecars' reports.
     on_reaction : callable
-        Called with what followed from each report.
+        Called with the reaction to each report.
     """
 
     def __init__(
@@ -55,7 +55,9 @@
     ) -> None:
         self._ledger = ledger
         self._lease_seconds = lease_seconds
-        self._lease_bound = lease_seconds * (1 + _DRIFT) + _MARGIN_SECONDS
+        self._lease_bound_seconds = (
+            lease_seconds * (1 + _CLOCK_DRIFT) + _LAPSE_MARGIN_SECONDS
+        )
         self._reader = reader
         self._on_reaction = on_reaction
         self.instances: dict[str, instances.Instance] = {}
@@ -63,11 +65,11 @@
         self._group: anyio.abc.TaskGroup
 
     def open(self, group: anyio.abc.TaskGroup) -> None:
-        """Run all links in this group."""
+        """Set the task group that all links run in."""
         self._group = group
 
     def get(self, address: str) -> instances.Instance:
-        """Return an instance, linked from its first mention on."""
+        """Return an instance, opening its link on the first call."""
         if address not in self.instances:
             instance = instances.Instance(address)
             self.instances[address] = instance
@@ -75,23 +77,25 @@
                 instance,
                 self._ledger.term.epoch,
                 self._lease_seconds,
-                self._describe_lease,
-                self._note_attached,
-                self._note_report,
+                self._get_lease_bound,
+                self._handle_attached,
+                self._handle_report,
             )
             self._links[address] = link
             self._group.start_soon(link.run)
         return self.instances[address]
 
     def count_claim(self, task: job_module.Task) -> None:
-        """Count a run that an earlier leader has placed.
+        """Adopt a run that an earlier leader has placed.
 
-        That leader may have allowed leases until it knew that it was
-        replaced, and they run on after that.
+        That leader may have allowed leases until it noticed that it was
+        replaced, and they remain valid after that.
         """
         now = clock.read()
         instance = self.get(task.state.instance)
-        instance.trusted_until = now + KNOWLEDGE_SECONDS + self._lease_bound
+        instance.leases_until = (
+            now + LEADERSHIP_GRACE_SECONDS + self._lease_bound_seconds
+        )
         run = instances.Run(
             task=task.name,
             number=task.state.run,
@@ -99,7 +103,7 @@
             step=task.step,
             queue=task.job.queue,
             ordered_at=now,
-            # Unknown; the first order says what it is to be.
+            # Unknown; the first throttling order sets it.
             pace=0,
             suspect=task.is_suspect,
         )
@@ -108,7 +112,7 @@
             suspects.keep_apart(task, run, instance)
 
     def stop_task(self, task: job_module.Task) -> None:
-        """Stop the run of a task that has a place."""
+        """Stop the run of a placed task."""
         instance = self.instances.get(task.state.instance)
         if instance is None:
             return
@@ -123,30 +127,30 @@
         Parameters
         ----------
         claim : persimmonsail.jobs.placer.Claim
-            The run.
+            The claimed run.
         known_at : float
             When its job was last known not to be cancelled, on ``clock``.
         """
         instance = claim.instance
         key = (claim.run.task, claim.run.number)
         if instance.runs.get(key) is not claim.run:
-            # Given up while the claim was written.
+            # Abandoned while the claim was written.
             return
         if claim.run.phase is not instances.RunPhase.ORDERED:
-            # Its stop was ordered meanwhile; a start would come after it.
+            # Its stop was ordered meanwhile; the start would follow it.
             return
         if claim.task.job.phase.is_final:
-            # Cancelled while the claim was written: it was never sent.
+            # Cancelled while the claim was written; no start was sent.
             instance.drop_run(key)
             return
         link = self._links[instance.address]
-        expires_at = known_at + _ORDER_SECONDS
+        expires_at = known_at + _START_DEADLINE_SECONDS
         deadline = link.to_sidecar_clock(expires_at)
         if deadline is None or clock.read() >= expires_at:
-            self._withdraw(claim, known_at)
+            self._roll_back(claim, known_at)
             return
         claim.run.order = link.next_sequence
-        start = link.edit().starts.add()
+        start = link.edit_next_orders().starts.add()
         start.deadline = deadline
         _fill_start(start, claim.run)
         start.payload = claim.task.job.specification.payload
@@ -155,8 +159,8 @@
         if claim.run.pace < 100:
             start.percent = claim.run.pace
 
-    def _withdraw(self, claim: placer.Claim, known_at: float) -> None:
-        """Give up a claim whose start was never sent."""
+    def _roll_back(self, claim: placer.Claim, known_at: float) -> None:
+        """Roll back a claim whose start was never sent."""
         logs.write_event(
             'claim-withdrawn',
             task=claim.run.task,
@@ -164,15 +168,15 @@
             instance=claim.instance.address,
             known_seconds=clock.read() - known_at,
         )
-        self._reader.withdraw(claim.instance, claim.run)
+        self._reader.roll_back_claim(claim.instance, claim.run)
         self._on_reaction(reports.Reaction(replan=True))
 
     def acknowledge(self) -> None:
-        """Tell each sidecar which of its ends are committed."""
+        """Acknowledge committed ends to each sidecar."""
         for instance in self.instances.values():
             if instance.committed_end > instance.acknowledged:
                 instance.acknowledged = instance.committed_end
-                orders = self._links[instance.address].edit()
+                orders = self._links[instance.address].edit_next_orders()
                 orders.boot = instance.boot
                 orders.acknowledged = instance.acknowledged
                 logs.write_event(
@@ -183,45 +187,49 @@
                 )
 
     def give_up_unreachable(self) -> None:
-        """Give up runs of instances whose leases are all over."""
+        """Abandon runs of instances whose leases have all expired."""
         now = clock.read()
         for instance in self.instances.values():
-            if instance.runs and now > instance.trusted_until:
+            if instance.runs and now > instance.leases_until:
                 if not instance.attached or not instance.known:
-                    self._reader.drop_runs(instance, 'unreachable')
+                    self._reader.abandon_runs(instance, 'unreachable')
         self._stop_unneeded()
 
-    def _describe_lease(self) -> float:
-        age = clock.read() - self._ledger.confirmed_at
-        return self._lease_bound if age < KNOWLEDGE_SECONDS else 0.0
+    def _get_lease_bound(self) -> float:
+        unconfirmed_seconds = clock.read() - self._ledger.confirmed_at
+        return (
+            self._lease_bound_seconds
+            if unconfirmed_seconds < LEADERSHIP_GRACE_SECONDS
+            else 0.0
+        )
 
-    def _note_attached(self, instance: instances.Instance) -> None:
+    def _handle_attached(self, instance: instances.Instance) -> None:
         instance.attached = True
-        # A sidecar that was restarted has forgotten it.
+        # A restarted sidecar has lost its state.
         instance.acknowledged = 0
         instance.reported = False
         logs.write_event('instance-attached', instance=instance.address)
-        orders = self._links[instance.address].edit()
+        orders = self._links[instance.address].edit_next_orders()
         for run in instance.runs.values():
-            # Nothing of an earlier link counts as heard.
+            # Orders of an earlier link don't count as received.
             run.order = 0
             if run.phase is instances.RunPhase.STOPPING:
                 run.phase = instances.RunPhase.RUNNING
             _fill_start(orders.known.add(), run)
 
-    def _note_report(
+    def _handle_report(
         self, instance: instances.Instance, report: fleet_pb2.Report
     ) -> None:
         now = clock.read()
         if report.fenced:
-            # The worker's agent obeys no former leader any more, so only
-            # this leader's own word counts.
-            instance.trusted_until = now + self._lease_bound
+            # The worker's agent no longer obeys earlier leaders, so only
+            # leases allowed by this leader count.
+            instance.leases_until = now + self._lease_bound_seconds
         reaction = self._reader.read(instance, report, now)
         for run in reaction.stops:
             self._order_stop(instance, run)
         for change in reaction.paces:
-            self._order_pace(instance, change.run, change.percent)
+            self._order_speed_limit(instance, change.run, change.percent)
         for run in eviction.select_leaving(instance, now):
             self._evict(instance, run, 'leaving')
         for run in eviction.select_starved(
@@ -232,12 +240,12 @@
         self._on_reaction(reaction)
 
     def _stop_unneeded(self) -> None:
-        """Stop what waits for its gang in vain, and what is done already."""
-        for broken in self._reader.take_broken():
+        """Stop members of broken gangs, and runs of tasks already done."""
+        for broken in self._reader.pop_broken():
             for member in broken.job.list_gang(broken):
                 if member.is_placed:
                     self.stop_task(member)
-        for recalled in self._reader.take_recalled():
+        for recalled in self._reader.pop_recalled():
             self.stop_task(recalled)
 
     def _evict(
@@ -260,7 +268,7 @@
         link = self._links[instance.address]
         run.phase = instances.RunPhase.STOPPING
         run.order = link.next_sequence
-        link.edit().stops.add(task=run.task, run=run.number)
+        link.edit_next_orders().stops.add(task=run.task, run=run.number)
         logs.write_event(
             'stop-ordered',
             task=run.task,
@@ -268,7 +276,7 @@
             instance=instance.address,
         )
 
-    def _order_pace(
+    def _order_speed_limit(
         self, instance: instances.Instance, run: instances.Run, percent: int
     ) -> None:
         logs.write_event(
@@ -280,7 +288,7 @@
             percent=percent,
         )
         eviction.note_pace(run, percent, clock.read())
-        orders = self._links[instance.address].edit()
+        orders = self._links[instance.address].edit_next_orders()
         orders.paces.add(task=run.task, run=run.number, percent=percent)
 
 
--- a/src/persimmonsail/jobs/instances.py
+++ b/src/persimmonsail/jobs/instances.py
@@ -1,4 +1,4 @@
-"""The leader's view of each instance and of what runs there."""
+"""The leader's view of each instance and of its runs."""
 
 import collections
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class RunPhase(enum.Enum):
-    """How far the leader knows a run to be."""
+    """The phase of a run, as far as the leader knows."""
 
     ORDERED = 'ordered'
     RUNNING = 'running'
@@ -19,54 +19,55 @@
 
 @dataclasses.dataclass(eq=False)
 class Run:
-    """One run that takes, or may take, room of an instance.
+    """One run that takes, or may take, capacity of an instance.
 
     Attributes
     ----------
     task : str
         The task's full name.
     number : int
-        Which of the task's runs.
+        The number of this run of the task.
     boot : str
-        The life of the worker's agent that it was claimed for.
+        The boot of the worker's agent that it was claimed for.
     step : persimmonsail.jobs.specification.Step
-        What the task needs.
+        The task's requirements.
     queue : str
         The job's queue.
     phase : RunPhase
-        How far it is known to be.
+        Its last known phase.
     order : int
-        The number of the orders that told its start or its stop; 0 for
+        The sequence number of the orders with its start or its stop; 0 for
         none by this leader.
     ordered_at, seen_at : float
-        When the start was claimed, and when it was first seen running;
-        0 before. Seconds of the leader's clock.
+        When the start was claimed, and when the run was first observed
+        running; 0 before. Seconds of the leader's clock.
     due : float
         When its job's objective is missed, in seconds of the leader's
         clock; 0 if it has none.
     percent : float
-        How much of its work is done; for a long-running task whether it
-        is at work.
+        Progress in percent; for a long-running task whether it is
+        working.
     moved_at : float
-        When ``percent`` last rose.
+        When ``percent`` last changed.
     gauge : float
-        Tail latency in milliseconds for a task that serves, else
-        millicores in use.
+        Tail latency in milliseconds for a serving task, else millicores
+        in use.
     pace : int
-        The share of its speed that it was told to work at.
+        The speed limit that was ordered, in percent.
     paced_at : float
-        When it was told so; 0 for never.
+        When the speed limit was last ordered; 0 for never.
     slow_since : float
-        Since when that share has been low; 0 if it is not.
+        Since when the speed limit has been low; 0 if it is not.
     over_since : float
         Since when it has been over its latency target; 0 if it is not.
     under_looks : int
-        How many looks in a row it has been below it since.
+        Number of consecutive reports since then with the gauge within
+        the target.
     suspect : bool
-        Whether crashes are held against its task.
+        Whether its task is a crash suspect.
     apart_seconds : float
-        For how long nothing else is started beside it, if it is one that
-        is kept apart.
+        For how long nothing else is started on its instance, if it is
+        isolated.
     """
 
     task: str
@@ -97,7 +98,7 @@
 
     @functools.cached_property
     def step_name(self) -> str:
-        """Names job, occurrence and step."""
+        """The name of job, occurrence and step."""
         return self.task.rpartition('.')[0]
 
 
@@ -106,51 +107,52 @@
 
 @dataclasses.dataclass(eq=False)
 class Instance:
-    """One instance, found under its sidecar's address.
+    """One instance, identified by its sidecar's address.
 
     Attributes
     ----------
     address : str
-        Where its sidecar takes orders.
+        The address where its sidecar accepts orders.
     name, zone : str
         From its registration.
     service, boot, rack, labels, capacity
         From its worker's agent; empty until that is known.
     leaving : bool
-        Whether it gets no new work.
+        Whether it is draining and gets no new work.
     gone_at : float
         When a leaving one may end; 0 if it is not known.
     attached : bool
         Whether this leader has a link to it.
     reported : bool
-        Whether its sidecar has told over that link what runs and what has
-        ended. Before that it gets nothing new: the work that it would get
-        may be among the ends that the first report brings.
-    trusted_until : float
-        Until when its runs may hold leases, by whatever leader: runs may
-        be started elsewhere only after it.
+        Whether its sidecar has reported its running and ended runs over
+        that link. Before that it gets nothing new, since the work that it
+        would get may be among the ends in the first report.
+    leases_until : float
+        Time up to which its runs may hold leases, allowed by any leader;
+        they may be started elsewhere only after it.
     silent_seconds : float
         For how long its worker's agent has not answered its sidecar.
     answered_at : float
         When that agent last answered, in seconds of the leader's clock.
     known : bool
-        Whether its sidecar knows of a worker's agent at all.
+        Whether its sidecar knows a worker's agent.
     suspect_until : float
-        Until when it gets no work after it failed what it ran.
+        Time up to which it gets no work because its runs have failed.
     apart : Run, optional
-        The last run beside which nothing else was to be started.
+        The last run that was isolated here.
     cleared_for : str
-        The suspect task that is to be tried here next; empty for none.
+        The crash suspect that the instance is reserved for; empty for
+        none.
     cleared_until : float
-        Until when nothing else is started here for its sake.
+        Time up to which it is reserved.
     committed : persimmonsail.jobs.specification.Size
-        What all runs take, those that are being stopped too.
+        The capacity that all runs take, including stopping ones.
     processed : int
-        The last end of this boot that was taken in.
+        The last end of this boot that was processed.
     committed_end, acknowledged : int
-        The last one that is committed, and told to the sidecar.
+        The last end that is committed, and acknowledged to the sidecar.
     version : int
-        Rises with each change of its runs, or of what they report.
+        Rises with each change of its runs or of their reports.
     """
 
     address: str
@@ -165,7 +167,7 @@
     gone_at: float = 0.0
     attached: bool = False
     reported: bool = False
-    trusted_until: float = 0.0
+    leases_until: float = 0.0
     silent_seconds: float = 0.0
     answered_at: float = 0.0
     known: bool = True
@@ -179,55 +181,55 @@
     committed_end: int = 0
     acknowledged: int = 0
     version: int = 0
-    _counts: collections.Counter[str] = dataclasses.field(
+    _step_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
 
     def add_run(self, run: Run) -> None:
-        """Count a run, from its claim on."""
+        """Add a claimed run and its committed capacity."""
         self.drop_run((run.task, run.number))
         self.runs[run.task, run.number] = run
         self.committed = self.committed + run.step.committed
-        self._counts[run.step_name] += 1
+        self._step_counts[run.step_name] += 1
         self.version += 1
 
     def drop_run(self, key: RunId) -> Run | None:
-        """Count a run no more; its room is free."""
+        """Remove a run and free its capacity."""
         run = self.runs.pop(key, None)
         if run is not None:
             self.committed = self.committed - run.step.committed
-            self._counts[run.step_name] -= 1
-            if not self._counts[run.step_name]:
-                del self._counts[run.step_name]
+            self._step_counts[run.step_name] -= 1
+            if not self._step_counts[run.step_name]:
+                del self._step_counts[run.step_name]
             self.version += 1
         return run
 
     def note_report(self) -> None:
-        """Note that what it reports may have changed."""
+        """Record that its reported state may have changed."""
         self.version += 1
 
     @property
     def free(self) -> specification.Size:
-        """What is left of the capacity."""
+        """The free capacity."""
         return self.capacity - self.committed
 
     @property
     def serving(self) -> list[Run]:
-        """The runs that have a latency target."""
+        """The runs with a latency target."""
         return [run for run in self.runs.values() if run.serves]
 
     @property
     def fillers(self) -> list[Run]:
-        """The runs that take what others leave unused."""
+        """The best-effort runs, which use spare capacity."""
         return [r for r in self.runs.values() if r.step.best_effort_cpu]
 
     @property
     def suspects(self) -> int:
-        """How many runs there crashes are held against."""
+        """The number of runs whose task is a crash suspect."""
         return sum(run.suspect for run in self.runs.values())
 
     def is_reserved(self, now: float) -> bool:
-        """Tell whether a suspect has, or is to have, this for itself."""
+        """Return whether a crash suspect has or awaits it exclusively."""
         if now < self.cleared_until:
             return True
         run = self.apart
@@ -236,17 +238,17 @@
         return now - (run.seen_at or run.ordered_at) < run.apart_seconds
 
     def is_cleared_for(self, task: str, now: float) -> bool:
-        """Tell whether this suspect is to be tried here next."""
+        """Return whether it is reserved for this crash suspect."""
         return now < self.cleared_until and self.cleared_for == task
 
     def measure_quiet(self, now: float) -> float:
-        """Return for how many seconds nothing has begun here.
+        """Return the seconds since the last start of a run.
 
-        What was ordered and not seen yet may begin at any moment.
+        A run that was ordered and not yet observed may start at any time.
         """
         began = [run.seen_at or now for run in self.runs.values()]
         return now - max(began, default=-math.inf)
 
     def count_step(self, step_name: str) -> int:
-        """Return how many tasks of a step run here."""
-        return self._counts[step_name]
+        """Return the number of the step's tasks that run here."""
+        return self._step_counts[step_name]
--- a/src/persimmonsail/jobs/link.py
+++ b/src/persimmonsail/jobs/link.py
@@ -1,4 +1,4 @@
-"""The leader's link to one sidecar: orders out, reports in."""
+"""The leader's link to one sidecar: sends orders, receives reports."""
 
 import typing as t
 
@@ -16,31 +16,32 @@
 from persimmonsail.jobs import leases
 from persimmonsail import logs
 
-# Orders go out at least this often; a sidecar whose leader's last word
-# is 2 s old gives the link up.
-_LONGEST_PERIOD_SECONDS = 0.4
-# A link over which no report came for so long has gone silent: three
-# reports are missing.
-_SILENCE_SECONDS = 1.5
-_CONNECT_SECONDS = 1.0
-_RETRY_SECONDS = 0.25
-# A lease is 6 s and cuts of 5 s are common: what runs behind one goes on
+# Upper bound of the interval between orders; a sidecar closes the link when
+# its leader's last message is 2 s old.
+_MAX_PERIOD_SECONDS = 0.4
+# A link without reports for this long is treated as broken: three reports
+# are missing.
+_LINK_TIMEOUT_SECONDS = 1.5
+_CONNECT_TIMEOUT_SECONDS = 1.0
+_MIN_RETRY_SECONDS = 0.25
+# A lease is 6 s and network cuts of 5 s are common: runs behind one survive
 # if the link is open again within a second of its end.
-_LONGEST_RETRY_SECONDS = 0.5
+_MAX_RETRY_SECONDS = 0.5
 
-_LOST = (
+_CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     grpclib.exceptions.GRPCError,
     grpclib.exceptions.StreamTerminatedError,
-    # A name that no resolver takes, such as one with an empty label: it may
-    # come from another writer's entry, and would end the leader's term.
+    # Raised for a name that no resolver accepts, such as one with an empty
+    # label. Another writer's entry may contain one, and an unhandled error
+    # would end the leader's term.
     UnicodeError,
 )
 
-# What a sidecar answers to a leader of an earlier term than it has seen, and
-# to nobody else.
-_STALE = grpclib.const.Status.FAILED_PRECONDITION
+# A sidecar's answer to a leader of an earlier term than it has seen, and to
+# no other leader.
+_STALE_EPOCH_STATUS = grpclib.const.Status.FAILED_PRECONDITION
 
 OnReport = t.Callable[[instances.Instance, fleet_pb2.Report], None]
 
@@ -51,14 +52,14 @@
     Parameters
     ----------
     instance : persimmonsail.jobs.instances.Instance
-        The leader's view of it.
+        The leader's view of the sidecar's instance.
     epoch : int
         The leader's term.
     lease_seconds : float
-        How long runs go on after the leader's last word.
-    describe_lease : callable
+        How long runs continue after the leader's last message.
+    get_lease_bound : callable
         Returns for how many seconds after a ticket was sent back runs
-        may go on, or 0 while no ticket may be sent.
+        may continue, or 0 while no ticket may be sent.
     on_attach : callable
         Called with the instance when the link is open, before anything
         is sent.
@@ -71,73 +72,76 @@
         instance: instances.Instance,
         epoch: int,
         lease_seconds: float,
-        describe_lease: t.Callable[[], float],
+        get_lease_bound: t.Callable[[], float],
         on_attach: t.Callable[[instances.Instance], None],
         on_report: OnReport,
     ) -> None:
         self._instance = instance
         self._epoch = epoch
         self._period_seconds = leases.choose_period(
-            lease_seconds, _LONGEST_PERIOD_SECONDS
+            lease_seconds, _MAX_PERIOD_SECONDS
         )
-        self._describe_lease = describe_lease
+        self._get_lease_bound = get_lease_bound
         self._on_attach = on_attach
         self._on_report = on_report
         self._sequence = 0
-        self._ticket = 0.0
-        self._ticket_at = 0.0
-        self._outgoing = fleet_pb2.Orders()
-        self._changed = anyio.Event()
+        self._sidecar_clock = 0.0
+        self._sidecar_clock_read_at = 0.0
+        self._next_orders = fleet_pb2.Orders()
+        self._orders_added = anyio.Event()
 
-    def note_ticket(self, ticket: float) -> None:
-        """Note the sidecar's clock, as its report told it."""
-        self._ticket = ticket
-        self._ticket_at = clock.read()
+    def note_sidecar_clock(self, sidecar_clock: float) -> None:
+        """Record the sidecar's clock from its report."""
+        self._sidecar_clock = sidecar_clock
+        self._sidecar_clock_read_at = clock.read()
 
-    def to_sidecar_clock(self, moment: float) -> float | None:
-        """Translate a moment to the sidecar's clock, rather too early.
+    def to_sidecar_clock(self, time: float) -> float | None:
+        """Convert a time to the sidecar's clock, rounding early.
 
-        Its clock was read before the report that told of it arrived, so the
-        result is never later than the moment itself.
+        The clock was read before the report that carries it arrived, so the
+        result is never later than the given time.
 
         Returns
         -------
         float or None
-            Nothing while no report has come over this link.
+            None while no report has arrived over this link.
         """
-        if not self._ticket:
+        if not self._sidecar_clock:
             return None
-        return self._ticket + (moment - self._ticket_at)
+        return self._sidecar_clock + (time - self._sidecar_clock_read_at)
 
     @property
     def next_sequence(self) -> int:
-        """The number of the orders that are sent next."""
+        """The sequence number of the next orders to be sent."""
         return self._sequence + 1
 
-    def edit(self) -> fleet_pb2.Orders:
-        """Return the orders that are sent next, to add to them."""
-        self._changed.set()
-        return self._outgoing
+    def edit_next_orders(self) -> fleet_pb2.Orders:
+        """Return the next orders to be sent, for additions."""
+        self._orders_added.set()
+        return self._next_orders
 
     async def run(self) -> None:
-        """Connect, and connect again, until cancelled.
+        """Connect and reconnect, until cancelled.
 
         Raises
         ------
         persimmonsail.exceptions.Deposed
             If the sidecar obeys the leader of a later term.
         """
-        pause = _RETRY_SECONDS
+        retry_seconds = _MIN_RETRY_SECONDS
         while True:
-            begun = clock.read()
-            # In a task of its own: the library ends a broken stream by a
-            # plain cancellation of the task that uses it.
+            started_at = clock.read()
+            # In a separate task: grpclib cancels the task that uses a
+            # stream when the stream breaks.
             async with anyio.create_task_group() as group:
                 group.start_soon(self._attach_once)
-            if clock.read() - begun > _SILENCE_SECONDS + _CONNECT_SECONDS:
-                pause = _RETRY_SECONDS
-            await anyio.sleep(pause)
-            pause = min(1.5 * pause, _LONGEST_RETRY_SECONDS)
+            if (
+                clock.read() - started_at
+                > _LINK_TIMEOUT_SECONDS + _CONNECT_TIMEOUT_SECONDS
+            ):
+                retry_seconds = _MIN_RETRY_SECONDS
+            await anyio.sleep(retry_seconds)
+            retry_seconds = min(1.5 * retry_seconds, _MAX_RETRY_SECONDS)
 
     async def _attach_once(self) -> None:
         instance = self._instance
@@ -145,18 +149,18 @@
         channel = grpclib.client.Channel(host, port)
         error: BaseException | None = None
         try:
-            with anyio.fail_after(_CONNECT_SECONDS):
+            with anyio.fail_after(_CONNECT_TIMEOUT_SECONDS):
                 await channel.__connect__()
-            await self._use(channel)
-        except _LOST as lost:
-            error = lost
-            if _is_stale(lost):
-                # A later term is proved, also where the store is out of
-                # reach; going on, a deposed leader of 160 instances made
-                # 300 connections a second until it read so itself.
+            await self._exchange(channel)
+        except _CONNECTION_ERRORS as cause:
+            error = cause
+            if _is_stale(cause):
+                # This is evidence of a later term, even while the store is
+                # unreachable; without it, a deposed leader of 160 instances
+                # made 300 connections a second until it could read the term.
                 raise exceptions.Deposed(
                     f'{instance.address} obeys a later leader'
-                ) from lost
+                ) from cause
         finally:
             channel.close()
             if instance.attached:
@@ -168,11 +172,11 @@
                     runs=len(instance.runs),
                 )
 
-    async def _use(self, channel: grpclib.client.Channel) -> None:
+    async def _exchange(self, channel: grpclib.client.Channel) -> None:
         stub = fleet_grpc.AgentStub(channel)
         self._sequence = 0
-        self._ticket = 0.0
-        self._outgoing = fleet_pb2.Orders()
+        self._sidecar_clock = 0.0
+        self._next_orders = fleet_pb2.Orders()
         self._on_attach(self._instance)
         errors: list[BaseException] = []
         async with stub.Attach.open() as stream:
@@ -181,7 +185,7 @@
                 async def run(function: t.Any) -> None:
                     try:
                         await function(stream)
-                    except _LOST as error:
+                    except _CONNECTION_ERRORS as error:
                         errors.append(error)
                     group.cancel_scope.cancel()
 
@@ -194,38 +198,38 @@
 
     async def _send(self, stream: t.Any) -> None:
         while True:
-            self._changed = anyio.Event()
-            orders = self._outgoing
-            self._outgoing = fleet_pb2.Orders()
+            self._orders_added = anyio.Event()
+            orders = self._next_orders
+            self._next_orders = fleet_pb2.Orders()
             self._sequence += 1
             orders.epoch = self._epoch
             orders.sequence = self._sequence
-            lease = self._describe_lease()
-            # A sidecar that knows no worker's agent grants nothing, so
-            # what an earlier one granted can be waited out.
-            if self._ticket and lease and self._instance.known:
-                orders.ticket = self._ticket
-                until = clock.read() + lease
-                trusted = max(self._instance.trusted_until, until)
-                self._instance.trusted_until = trusted
-            with anyio.fail_after(_SILENCE_SECONDS):
+            lease = self._get_lease_bound()
+            # A sidecar without a known worker's agent grants no leases, so
+            # those of an earlier one are left to expire.
+            if self._sidecar_clock and lease and self._instance.known:
+                orders.ticket = self._sidecar_clock
+                lease_end = clock.read() + lease
+                latest = max(self._instance.leases_until, lease_end)
+                self._instance.leases_until = latest
+            with anyio.fail_after(_LINK_TIMEOUT_SECONDS):
                 await stream.send_message(orders)
             with anyio.move_on_after(self._period_seconds):
-                await self._changed.wait()
+                await self._orders_added.wait()
 
     async def _receive(self, stream: t.Any) -> None:
         while True:
-            with anyio.fail_after(_SILENCE_SECONDS):
+            with anyio.fail_after(_LINK_TIMEOUT_SECONDS):
                 report = await stream.recv_message()
             if report is None:
                 return
-            self.note_ticket(report.ticket)
+            self.note_sidecar_clock(report.ticket)
             self._on_report(self._instance, report)
 
 
 def _is_stale(error: BaseException) -> bool:
-    """Tell whether a sidecar refused a link for its epoch."""
+    """Return whether a sidecar refused a link for its epoch."""
     return (
         isinstance(error, grpclib.exceptions.GRPCError)
-        and error.status is _STALE
+        and error.status is _STALE_EPOCH_STATUS
     )
--- a/src/persimmonsail/jobs/reports.py
+++ b/src/persimmonsail/jobs/reports.py
@@ -1,4 +1,4 @@
-"""What a sidecar's report changes in the leader's view."""
+"""Application of sidecars' reports to the leader's view."""
 
 import dataclasses
 import typing as t
@@ -17,33 +17,34 @@
 from persimmonsail.jobs import suspects
 from persimmonsail import logs
 
-# A refused start is tried again after this time, not in the same round.
-_REFUSED_PAUSE_SECONDS = 0.1
-# Room that swings and agents that leave refuse a start so often; one that is
-# refused further, as no agent understands it, is tried ever later.
-_USUAL_REFUSALS = 8
-_MOST_DOUBLINGS = 6
-
-# What an agent answers to a start whose ticket it does not accept.
-_TICKET_REFUSED = 'ticket'
-
-# A queue's slowdown follows its last twenty runs or so, and counts no
-# further than this: beyond it nothing would be thought to be on time.
-_SMOOTHING = 0.05
-_MOST_SLOWDOWN = 2.5
+# A refused start is retried after this time, not in the same round.
+_REFUSAL_BACKOFF_SECONDS = 0.1
+# Varying capacity and leaving agents cause up to this many refusals of a
+# start; one that is refused further, as no agent understands it, is retried
+# with exponential backoff.
+_MAX_PROMPT_RETRIES = 8
+_MAX_DOUBLINGS = 6
+
+# An agent's reason for refusing a start with an invalid permit.
+_PERMIT_REFUSED = 'ticket'
+
+# A queue's slowdown is smoothed over about its last twenty runs. It is
+# limited because beyond this value no task would be expected on time.
+_SLOWDOWN_SMOOTHING = 0.05
+_MAX_SLOWDOWN = 2.5
 _MILLISECONDS = 1000
 
 
 @dataclasses.dataclass
 class Reaction:
-    """What has to be told to the sidecar that reported.
+    """The orders and actions that follow from a report.
 
     Attributes
     ----------
     stops : list of persimmonsail.jobs.instances.Run
-        Runs that nobody wants, or whose fate is open.
+        Runs that are unwanted, or whose state is uncertain.
     paces : list of persimmonsail.jobs.pace.Change
-        New paces of best-effort runs.
+        New speed limits of best-effort runs.
     replan : bool
         Whether work may be placed now that could not be before.
     """
@@ -54,20 +55,20 @@
 
 
 class Reader:
-    """Takes reports of all instances in.
+    """Processes the reports of all instances.
 
     Parameters
     ----------
     board : persimmonsail.jobs.board.Board
         The leader's jobs.
-    tracker : persimmonsail.quarantine.Tracker
-        Tells a bad instance from a bad job.
+    tracker : persimmonsail.decisions.quarantine.Tracker
+        Distinguishes a faulty instance from a faulty job.
     model : persimmonsail.jobs.interference.Model
-        Learns from each report how images disturb each other.
+        Learns from each report how images interfere with each other.
     get_attempts : callable
         Returns how often a task of a queue may fail.
     approvals : persimmonsail.jobs.advice.Approvals
-        Loses the tickets that instances refuse.
+        The permits; those that instances refuse are removed.
     list_fleet : callable
         Returns all instances.
     """
@@ -83,11 +84,11 @@
     ) -> None:
         self._approvals = approvals
         self._board = board
-        self._soundness = soundness.Soundness(tracker)
+        self._health = soundness.Soundness(tracker)
         self._model = model
         self._get_attempts = get_attempts
         self._crashes = crashes.Tracker(board, list_fleet)
-        # How much longer tasks of a queue take than estimated.
+        # Ratio of actual to estimated running time, by queue.
         self.slowdowns: dict[str, float] = {}
 
     def read(
@@ -96,87 +97,87 @@
         report: fleet_pb2.Report,
         now: float,
     ) -> Reaction:
-        """Take one report in and return what follows from it."""
+        """Apply a report and return the reaction to it."""
         reaction = Reaction()
         instance.note_report()
-        # Before the runs that they ended are given up: what they count for
-        # a task has to be known before it waits to be placed again.
+        # Before the runs that they ended are abandoned: a task's crashes
+        # have to be counted before it waits to be placed again.
         for crash in report.crashes:
             self._crashes.note(instance, crash, now)
-        self._note_over(instance, report, reaction)
+        self._abandon_ended_boots(instance, report, reaction)
         instance.known = bool(report.boot)
         instance.silent_seconds = report.silent_seconds
         instance.answered_at = now - report.silent_seconds
         if not report.boot:
             return reaction
-        self._note_boot(instance, report, reaction)
+        self._handle_boot(instance, report, reaction)
         if observations.note_description(instance, report, now):
             reaction.replan = True
         if not report.looked:
             return reaction
         instance.reported = True
-        # Before anything that gives runs up: an end that a sidecar has seen
-        # is certain, whatever its worker's agent has come to since.
+        # Before anything that abandons runs: an end that a sidecar has read
+        # is certain, whatever has happened to its worker's agent since.
         for ended in report.ended:
             if ended.number > instance.processed:
-                self._note_end(instance, ended, now)
+                self._handle_end(instance, ended, now)
                 reaction.replan = True
         if report.lapsed:
-            # Its worker's agent may be gone for good while the sidecar
-            # lives on, which nothing else would ever tell.
+            # The worker's agent may be permanently gone while its sidecar
+            # stays up; nothing else would reveal that.
             if instance.runs:
-                self.drop_runs(instance, 'lapsed')
+                self.abandon_runs(instance, 'lapsed')
                 reaction.replan = True
             return reaction
         pending = {(ref.task, ref.run) for ref in report.pending}
         for row in report.running:
-            run = self._note_running(instance, row, now)
+            run = self._handle_running(instance, row, now)
             if run is not None and not observations.is_being_stopped(
                 run, report, pending
             ):
                 reaction.stops.append(run)
         reaction.stops += self._list_unwanted(instance, pending)
         for barred in report.barred:
-            self._note_barred(instance, barred, now)
+            self._handle_barred(instance, barred, now)
             reaction.replan = True
-        self._settle_absent(instance, report, pending, reaction)
+        self._stop_absent(instance, report, pending, reaction)
         soundness.note_progress(instance, now)
         self._model.learn(instance, now)
         reaction.paces = pace.decide(instance, self._model, now)
         return reaction
 
-    def take_broken(self) -> list[job_module.Task]:
-        """Return what broke its gang since the last call."""
+    def pop_broken(self) -> list[job_module.Task]:
+        """Return the tasks that broke their gang since the last call."""
         broken = self._board.broken
         self._board.broken = []
         return broken
 
-    def take_recalled(self) -> list[job_module.Task]:
-        """Return whose last run is not needed any more since then."""
+    def pop_recalled(self) -> list[job_module.Task]:
+        """Return the tasks whose run became unneeded since the last call."""
         recalled = self._board.recalled
         self._board.recalled = []
         return recalled
 
     def is_last(self, run: instances.Run) -> bool:
-        """Tell whether nothing else of a run's job has a place."""
+        """Return whether no other task of a run's job is placed."""
         task = self._board.find(run.task)
         return task is not None and task.job.placed_count <= 1
 
-    def drop_runs(self, instance: instances.Instance, reason: str) -> None:
-        """Give up all runs of an instance: none of them can be left."""
+    def abandon_runs(self, instance: instances.Instance, reason: str) -> None:
+        """Abandon all runs of an instance, as none can still exist."""
         for run in list(instance.runs.values()):
-            self._drop_run(instance, run, reason)
+            self._abandon_run(instance, run, reason)
 
-    def withdraw(
+    def roll_back_claim(
         self, instance: instances.Instance, run: instances.Run
     ) -> None:
-        """Have a task wait again whose run was claimed and never ordered."""
+        """Return a task with a claimed but never ordered run to waiting."""
         instance.drop_run((run.task, run.number))
         task = self._board.find(run.task)
         if task is not None:
-            self._end(task, run.number, board_module.End.NOT_STARTED, '')
+            self._end_run(task, run.number, board_module.End.NOT_STARTED, '')
 
-    def _drop_run(
+    def _abandon_run(
         self, instance: instances.Instance, run: instances.Run, reason: str
     ) -> None:
         instance.drop_run((run.task, run.number))
@@ -189,9 +190,9 @@
             reason=reason,
         )
         if task is not None:
-            self._end(task, run.number, board_module.End.LOST, '')
+            self._end_run(task, run.number, board_module.End.LOST, '')
 
-    def _end(
+    def _end_run(
         self,
         task: job_module.Task,
         run: int,
@@ -201,7 +202,7 @@
         attempts = self._get_attempts(task.job.queue)
         return self._board.note_end(task, run, end, checkpoint, attempts)
 
-    def _note_over(
+    def _abandon_ended_boots(
         self,
         instance: instances.Instance,
         report: fleet_pb2.Report,
@@ -209,10 +210,10 @@
     ) -> None:
         for run in list(instance.runs.values()):
             if run.boot in report.over:
-                self._drop_run(instance, run, 'boot-over')
+                self._abandon_run(instance, run, 'boot-over')
                 reaction.replan = True
 
-    def _note_boot(
+    def _handle_boot(
         self,
         instance: instances.Instance,
         report: fleet_pb2.Report,
@@ -221,9 +222,9 @@
         if instance.boot == report.boot:
             return
         for run in list(instance.runs.values()):
-            # What an earlier boot ran has ended with it.
+            # Runs of an earlier boot have ended with it.
             if run.boot != report.boot:
-                self._drop_run(instance, run, 'boot-changed')
+                self._abandon_run(instance, run, 'boot-changed')
         logs.write_event(
             'instance-boot',
             instance=instance.address,
@@ -237,7 +238,7 @@
         instance.suspect_until = 0.0
         reaction.replan = True
 
-    def _note_end(
+    def _handle_end(
         self,
         instance: instances.Instance,
         ended: fleet_pb2.Ended,
@@ -246,12 +247,12 @@
         instance.processed = ended.number
         run = instance.drop_run((ended.task, ended.run))
         task = self._board.find(ended.task)
-        end = _read_end(ended)
-        used = False
+        end = _parse_end(ended)
+        accepted = False
         if task is not None:
-            used = self._end(task, ended.run, end, ended.checkpoint)
-            if not used and end is board_module.End.DONE:
-                used = self._board.note_late_done(task, ended.run)
+            accepted = self._end_run(task, ended.run, end, ended.checkpoint)
+            if not accepted and end is board_module.End.DONE:
+                accepted = self._board.note_late_done(task, ended.run)
         logs.write_event(
             'run-ended',
             task=ended.task,
@@ -261,29 +262,31 @@
             boot=instance.boot,
             number=ended.number,
             seconds=now - run.seen_at if run and run.seen_at else -1,
-            used=used,
+            used=accepted,
         )
         if run is not None and end is board_module.End.DONE:
-            self._note_speed(run, now)
-        if task is not None and end in _JUDGED:
+            self._update_slowdown(run, now)
+        if task is not None and end in _HEALTH_RELEVANT_ENDS:
             failed = end is board_module.End.FAILED
-            self._soundness.note_end(instance, task.job.id, failed, now)
+            self._health.note_end(instance, task.job.id, failed, now)
 
-    def _note_speed(self, run: instances.Run, now: float) -> None:
+    def _update_slowdown(self, run: instances.Run, now: float) -> None:
         if not run.seen_at or not run.step.estimate_ms:
             return
         seconds = run.step.estimate_ms / _MILLISECONDS
-        seen = min(max((now - run.seen_at) / seconds, 1.0), _MOST_SLOWDOWN)
-        known = self.slowdowns.get(run.queue, seen)
-        self.slowdowns[run.queue] = known + _SMOOTHING * (seen - known)
+        ratio = min(max((now - run.seen_at) / seconds, 1.0), _MAX_SLOWDOWN)
+        average = self.slowdowns.get(run.queue, ratio)
+        self.slowdowns[run.queue] = average + _SLOWDOWN_SMOOTHING * (
+            ratio - average
+        )
 
-    def _note_running(
+    def _handle_running(
         self,
         instance: instances.Instance,
         row: fleet_pb2.Running,
         now: float,
     ) -> instances.Run | None:
-        """Take a running row in; return its run if nobody wants it."""
+        """Apply a running row; return its run if it is unwanted."""
         task = self._board.find(row.task)
         run = instance.runs.get((row.task, row.run))
         if run is None:
@@ -302,18 +305,18 @@
     def _list_unwanted(
         self, instance: instances.Instance, pending: set[instances.RunId]
     ) -> list[instances.Run]:
-        """Return the runs whose start is on its way and nobody wants."""
-        found = []
+        """Return the unwanted runs whose start is pending."""
+        unwanted = []
         for key in pending:
             run = instance.runs.get(key)
             if run is None or run.phase is instances.RunPhase.STOPPING:
                 continue
             task = self._board.find(run.task)
             if not observations.is_wanted(task, run, instance):
-                found.append(run)
-        return found
+                unwanted.append(run)
+        return unwanted
 
-    def _note_barred(
+    def _handle_barred(
         self,
         instance: instances.Instance,
         barred: fleet_pb2.Barred,
@@ -323,56 +326,56 @@
         task = self._board.find(barred.task)
         if task is None:
             return
-        if barred.reason == _TICKET_REFUSED:
+        if barred.reason == _PERMIT_REFUSED:
             self._approvals.drop_ticket(task.step_name, instance.boot)
         end = board_module.End.NOT_STARTED
-        used = self._end(task, barred.run, end, '')
+        accepted = self._end_run(task, barred.run, end, '')
         task.refusals += 1
-        pause_end = now + _choose_pause(task.refusals)
-        task.not_before = max(task.not_before, pause_end)
+        backoff_end = now + _compute_backoff(task.refusals)
+        task.not_before = max(task.not_before, backoff_end)
         logs.write_event(
             'run-barred',
             task=barred.task,
             run=barred.run,
             instance=instance.address,
             reason=barred.reason,
-            used=used,
+            used=accepted,
         )
 
-    def _settle_absent(
+    def _stop_absent(
         self,
         instance: instances.Instance,
         report: fleet_pb2.Report,
         pending: set[instances.RunId],
         reaction: Reaction,
     ) -> None:
-        """Have runs barred that should be there and are not.
+        """Stop runs that are expected on an instance but absent.
 
-        A start whose answer was lost may be carried out seconds later;
-        only a stop that the agent answered makes it certain that it is
-        not, so that the task can be placed again.
+        A start whose answer was lost may be executed seconds later; only
+        an answered stop rules that out, so that the task can be placed
+        again.
         """
-        there = {(row.task, row.run) for row in report.running}
+        running = {(row.task, row.run) for row in report.running}
         for key, run in instance.runs.items():
-            if key not in there | pending and run.order <= report.seen:
+            if key not in running | pending and run.order <= report.seen:
                 reaction.stops.append(run)
 
 
-_JUDGED = (board_module.End.DONE, board_module.End.FAILED)
+_HEALTH_RELEVANT_ENDS = (board_module.End.DONE, board_module.End.FAILED)
 
 
-def _read_end(ended: fleet_pb2.Ended) -> board_module.End:
+def _parse_end(ended: fleet_pb2.Ended) -> board_module.End:
     try:
         return board_module.End(ended.how)
     except ValueError:
-        # From a newer agent; the run is over in any case, and runs again.
+        # From a newer agent; the run has ended in any case and is rerun.
         logs.write_error(
             'end-unknown', task=ended.task, run=ended.run, how=ended.how
         )
         return board_module.End.LOST
 
 
-def _choose_pause(refusals: int) -> float:
-    """Return for how long a task waits after so many refusals in a row."""
-    more = min(max(refusals - _USUAL_REFUSALS, 0), _MOST_DOUBLINGS)
-    return _REFUSED_PAUSE_SECONDS * 2**more
+def _compute_backoff(refusals: int) -> float:
+    """Return a task's backoff after this many consecutive refusals."""
+    doublings = min(max(refusals - _MAX_PROMPT_RETRIES, 0), _MAX_DOUBLINGS)
+    return _REFUSAL_BACKOFF_SECONDS * 2**doublings
--- a/src/persimmonsail/jobs/worker.py
+++ b/src/persimmonsail/jobs/worker.py
@@ -1,4 +1,4 @@
-"""What a sidecar asks of the worker's agent on its own instance."""
+"""The interface of a sidecar to its instance's worker's agent."""
 
 import abc
 import dataclasses
@@ -8,22 +8,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Heartbeat:
-    """What the worker's agent says of itself, about once a second.
+    """A heartbeat of the worker's agent, about once a second.
 
     Attributes
     ----------
     boot : str
-        This life of the agent; what ran in an earlier one has ended.
+        The agent's incarnation; runs of an earlier one have ended.
     sequence : int
         Rises with each heartbeat of a boot.
     service, rack, labels, capacity
-        What the instance is and has.
+        The instance's properties.
     leaving : bool
-        Whether it takes no new work.
+        Whether it is draining and accepts no new work.
     remaining_seconds : float
-        How long a leaving one stays at least.
+        Minimum time that a leaving one remains.
     clock_ms : int
-        The agent's clock when it was sent; 0 if it does not say.
+        The agent's clock at sending; 0 if not given.
     """
 
     boot: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunningRow:
-    """One run that the agent has, as it last looked."""
+    """One run that the agent is running, with its latest gauges."""
 
     task: str
     run: int
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndedRow:
-    """One run that has ended and was not acknowledged yet."""
+    """One ended run that is not acknowledged yet."""
 
     number: int
     task: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Look:
-    """All that the agent has; ``clock_ms`` is its own steady clock."""
+    """A snapshot of the agent; ``clock_ms`` is its monotonic clock."""
 
     clock_ms: int
     running: tuple[RunningRow, ...]
@@ -70,42 +70,42 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartOrder:
-    """What a start tells the agent."""
+    """The parameters of a start."""
 
     task: str
     run: int
     payload: str
     checkpoint: str
     until_ms: int
-    # The advisor's permission; empty where none is needed.
+    # The placement advisor's permit; empty where none is needed.
     ticket: str = ''
 
 
 class Worker(abc.ABC):
     """The agent of one instance's worker.
 
-    Each call names the boot that it is meant for and the leader's epoch,
-    and raises
+    Each call carries the boot that it is intended for and the leader's
+    epoch, and raises
 
     - ``WorkerBootChanged`` if another boot answers,
-    - ``OrderRefused`` if the agent did nothing and says why,
-    - ``WorkerUnavailable`` if no answer came; the order may be carried
-      out now or seconds later.
+    - ``OrderRefused`` if the agent did nothing, with its reason,
+    - ``WorkerUnavailable`` if no answer came; the order may still be
+      executed, even seconds later.
     """
 
     @abc.abstractmethod
     async def start(self, boot: str, epoch: int, order: StartOrder) -> int:
-        """Start a run, or find it there; return the agent's clock."""
+        """Start a run if it is not running; return the agent's clock."""
 
     @abc.abstractmethod
     async def stop(self, boot: str, epoch: int, task: str, run: int) -> None:
-        """Stop a run, and bar it if it is not there yet."""
+        """Stop a run, or bar a later start of it if it is absent."""
 
     @abc.abstractmethod
     async def set_pace(
         self, boot: str, epoch: int, task: str, run: int, percent: int
     ) -> None:
-        """Let a run work at this share of its speed."""
+        """Set the speed limit of a run."""
 
     @abc.abstractmethod
     async def look(
@@ -116,17 +116,17 @@
         until_ms: int | None = None,
         wait_seconds: float = 0.0,
     ) -> Look:
-        """Read what runs and what has ended.
+        """Return the running and ended runs.
 
         Parameters
         ----------
         boot, epoch
             See the class.
         acknowledged : int
-            Ends up to this number are forgotten.
+            Ends up to this number are discarded.
         until_ms : int, optional
             Extends the lease of all runs to this time of the agent's
             clock.
         wait_seconds : float
-            How long to wait for a further end.
+            How long to wait for another run to end.
         """
--- a/tests/jobs/test_fleet.py
+++ b/tests/jobs/test_fleet.py
@@ -15,10 +15,10 @@
 from tests import base
 from tests.jobs import cases
 
-# Nothing listens there: the links try on, and orders stay to be looked at.
+# Nothing listens there: the links retry, and unsent orders can be inspected.
 ADDRESSES = ('127.0.0.1:1', '127.0.0.1:2')
-# What a sidecar's clock says.
-TICKET = 5000.0
+# A reading of a sidecar's clock.
+SIDECAR_CLOCK = 5000.0
 # No task of a job begins later than this after its cancel was acknowledged.
 CANCEL_SECONDS = 3.0
 
@@ -40,15 +40,15 @@
         )
 
     def attach(self, address):
-        """Return an instance that has reported that nothing runs there."""
+        """Return an instance that has reported no running runs."""
         instance = self.fleet.get(address)
-        self.fleet._note_attached(instance)
-        self.fleet._links[address].note_ticket(TICKET)
-        self.fleet._note_report(instance, self.make_report())
+        self.fleet._handle_attached(instance)
+        self.fleet._links[address].note_sidecar_clock(SIDECAR_CLOCK)
+        self.fleet._handle_report(instance, self.make_report())
         return instance
 
     def list_starts(self, address):
-        return list(self.fleet._links[address].edit().starts)
+        return list(self.fleet._links[address].edit_next_orders().starts)
 
     def make_report(self):
         return cases.make_report(cases.make_instance())
@@ -65,33 +65,33 @@
         return placer.Claim(task, run, instance)
 
     async def test_nothing_is_placed_before_the_first_report(self):
-        """A build is run anew on the instance that had just done it.
+        """A build is rerun on the instance that has just completed it.
 
         Its sidecar was replaced; the leader attached to the new one and
         placed the task there again 0.05 s later, 0.03 s before the report
-        that brought the end of its first run.
+        with the end of its first run.
         """
         async with anyio.create_task_group() as group:
             self.fleet.open(group)
             instance = self.attach(ADDRESSES[0])
             self.assertTrue(placement.is_usable(instance, 100.0))
-            self.fleet._note_attached(instance)
+            self.fleet._handle_attached(instance)
             self.assertFalse(placement.is_usable(instance, 100.0))
-            # The new sidecar has heard of its worker's agent, and has not
-            # looked at what runs there.
+            # The new sidecar has received a heartbeat of its worker's agent,
+            # and has not polled it yet.
             report = self.make_report()
             report.looked = False
-            self.fleet._note_report(instance, report)
+            self.fleet._handle_report(instance, report)
             self.assertFalse(placement.is_usable(instance, 100.0))
-            self.fleet._note_report(instance, self.make_report())
+            self.fleet._handle_report(instance, self.make_report())
             self.assertTrue(placement.is_usable(instance, 100.0))
             group.cancel_scope.cancel()
 
-    async def test_a_task_that_is_done_is_recalled_elsewhere(self):
-        """A build that was done is done once more on another instance.
+    async def test_a_done_task_is_stopped_elsewhere(self):
+        """A completed build is run again on another instance.
 
-        Its instance had been out of reach for longer than its leases, and
-        reports the end while the second run is claimed, or under way.
+        Its instance had been unreachable for longer than its leases, and
+        reports the end while the second run is claimed or running.
         """
         async with anyio.create_task_group() as group:
             self.fleet.open(group)
@@ -110,9 +110,9 @@
                 )
             sent, unsent = claims
             self.fleet.start(sent, clock.read())
-            self.fleet._note_report(first, report)
+            self.fleet._handle_report(first, report)
             self.fleet.start(unsent, clock.read())
-            orders = self.fleet._links[second.address].edit()
+            orders = self.fleet._links[second.address].edit_next_orders()
             self.assertEqual(
                 [sent.run.task], [start.task for start in orders.starts]
             )
@@ -124,48 +124,50 @@
             report = self.make_report()
             for claim in claims:
                 report.barred.add(task=claim.run.task, run=2, reason='absent')
-            self.fleet._note_report(second, report)
+            self.fleet._handle_report(second, report)
             self.assertIs(record.JobPhase.COMPLETE, job.phase)
             group.cancel_scope.cancel()
 
-    def claim_one(self):
-        """Claim a place for the only task of a job."""
+    def make_claim(self):
+        """Claim a placement for the only task of a job."""
         instance = self.attach(ADDRESSES[0])
         job = cases.make_job()
         self.board.add(job)
         (task,) = job.tasks.values()
         return self.place(task, instance)
 
-    async def test_an_order_ends_before_a_cancel_could_be_late(self):
-        """A task begins seconds after its cancel, by an order held up."""
+    async def test_a_start_expires_within_the_promise_of_a_cancel(self):
+        """A delayed order starts a task seconds after its cancel."""
         async with anyio.create_task_group() as group:
             self.fleet.open(group)
-            claim = self.claim_one()
+            claim = self.make_claim()
             self.fleet.start(claim, clock.read() - 1.0)
             (start,) = self.list_starts(ADDRESSES[0])
-            self.assertGreater(start.deadline, TICKET)
-            self.assertLess(start.deadline, TICKET + CANCEL_SECONDS - 1.0)
+            self.assertGreater(start.deadline, SIDECAR_CLOCK)
+            self.assertLess(
+                start.deadline, SIDECAR_CLOCK + CANCEL_SECONDS - 1.0
+            )
             group.cancel_scope.cancel()
 
-    async def test_a_claim_that_is_known_too_late_is_withdrawn(self):
-        """A task begins seconds after its cancel, by a claim held up."""
+    async def test_an_outdated_claim_is_rolled_back(self):
+        """A delayed claim starts a task seconds after its cancel."""
         async with anyio.create_task_group() as group:
             self.fleet.open(group)
-            claim = self.claim_one()
+            claim = self.make_claim()
             self.fleet.start(claim, clock.read() - CANCEL_SECONDS)
             self.assertEqual([], self.list_starts(ADDRESSES[0]))
             self.assertEqual({}, claim.instance.runs)
             self.assertIn(claim.task.key, claim.task.job.waiting)
             group.cancel_scope.cancel()
 
-    async def test_nothing_is_ordered_of_a_sidecar_whose_clock_is_unknown(
+    async def test_nothing_is_ordered_before_the_sidecars_clock_is_known(
         self,
     ):
-        """An order without a deadline is carried out whenever it arrives."""
+        """An order without a deadline is executed whenever it arrives."""
         async with anyio.create_task_group() as group:
             self.fleet.open(group)
-            claim = self.claim_one()
-            self.fleet._links[ADDRESSES[0]].note_ticket(0.0)
+            claim = self.make_claim()
+            self.fleet._links[ADDRESSES[0]].note_sidecar_clock(0.0)
             self.fleet.start(claim, clock.read())
             self.assertEqual([], self.list_starts(ADDRESSES[0]))
             self.assertIn(claim.task.key, claim.task.job.waiting)
--- a/tests/jobs/test_link.py
+++ b/tests/jobs/test_link.py
@@ -11,21 +11,21 @@
 
 
 class LinkTest(base.TestCase):
-    async def is_deposed(self, epoch, known):
-        """Attach a leader to a sidecar that knows of a term.
+    async def is_deposed(self, epoch, known_epoch):
+        """Attach a leader to a sidecar that has observed an epoch.
 
         Returns
         -------
         bool
-            Whether the leader's term ended with it.
+            Whether this ended the leader's term.
         """
-        own = agent.Agent(None, 6.0)
-        own._authority.epoch = known
+        sidecar_agent = agent.Agent(None, 6.0)
+        sidecar_agent._authority.epoch = known_epoch
         sock = addresses.bind('127.0.0.1:0')
-        server = grpclib.server.Server([own])
+        server = grpclib.server.Server([sidecar_agent])
         await server.start(sock=sock)
         instance = instances.Instance(addresses.name_of(sock))
-        attached = link.InstanceLink(
+        instance_link = link.InstanceLink(
             instance,
             epoch,
             6.0,
@@ -36,24 +36,24 @@
         deposed = False
         try:
             with anyio.move_on_after(1.0):
-                await attached.run()
+                await instance_link.run()
         except* exceptions.Deposed:
             deposed = True
         server.close()
         return deposed
 
     async def test_a_leader_that_a_sidecar_refuses_is_deposed(self):
-        """A former leader goes on for seconds, at 300 connections a second.
+        """A deposed leader makes 300 connections a second for seconds.
 
-        The store turned its machine away and another entry leads; every
-        sidecar refused the old one for its epoch, and it tried each again
-        twice a second until it could read that it was deposed.
+        The store refused its machine and another entry leads; every sidecar
+        refused the old leader for its epoch, and it retried each twice a
+        second until it could read that it was deposed.
         """
-        self.assertTrue(await self.is_deposed(epoch=5, known=6))
+        self.assertTrue(await self.is_deposed(epoch=5, known_epoch=6))
 
-    def test_a_moment_is_never_later_on_the_sidecars_clock(self):
-        """An order lives on for as long as its report was under way."""
-        own = link.InstanceLink(
+    def test_a_converted_time_is_never_late_on_the_sidecars_clock(self):
+        """An order's deadline is extended by the delay of a report."""
+        own_link = link.InstanceLink(
             instances.Instance('127.0.0.1:1'),
             1,
             6.0,
@@ -61,11 +61,11 @@
             lambda i: None,
             lambda i, r: None,
         )
-        self.assertIsNone(own.to_sidecar_clock(clock.read()))
-        # The sidecar's clock is 1000 ahead; its report took half a second.
-        own.note_ticket(clock.read() - 0.5 + 1000.0)
+        self.assertIsNone(own_link.to_sidecar_clock(clock.read()))
+        # The sidecar's clock is 1000 s ahead; its report took half a second.
+        own_link.note_sidecar_clock(clock.read() - 0.5 + 1000.0)
         now = clock.read()
-        self.assertLess(own.to_sidecar_clock(now + 2.0), now + 1002.0)
+        self.assertLess(own_link.to_sidecar_clock(now + 2.0), now + 1002.0)
 
     async def test_a_later_leader_is_obeyed(self):
-        self.assertFalse(await self.is_deposed(epoch=6, known=5))
+        self.assertFalse(await self.is_deposed(epoch=6, known_epoch=5))
--- a/tests/jobs/test_reports.py
+++ b/tests/jobs/test_reports.py
@@ -55,7 +55,7 @@
             report.running.add(task=run.task, run=run.number)
         return report
 
-    def test_a_done_run_frees_its_room_and_ends_its_task(self):
+    def test_a_done_run_frees_its_capacity_and_ends_its_task(self):
         run = self.place(self.tasks[0])
         report = self.report()
         report.ended.add(number=1, task=run.task, run=1, how='done')
@@ -65,8 +65,14 @@
         self.assertEqual(0, self.instance.committed.millicores)
         self.assertEqual(record.TaskPhase.DONE, self.tasks[0].state.phase)
 
-    def watch(self, percents, estimate_ms=2000):
-        """Report two runs each half second; return whether it is used."""
+    def report_progress(self, percents, estimate_ms=2000):
+        """Report progress of two runs twice a second.
+
+        Returns
+        -------
+        bool
+            Whether the instance is still usable.
+        """
         step = cases.make_step(2, estimate_ms=estimate_ms)
         job = cases.make_job(step, id='00000000000000cc')
         self.board.add(job)
@@ -83,28 +89,30 @@
         return placement.is_usable(self.instance, now)
 
     def test_an_instance_where_nothing_moves_gets_nothing_new(self):
-        """Quick checks go to one worker, one after the other, and hang.
+        """Short tasks are placed on one worker, one by one, and hang.
 
-        Its agent answers and reports as always while its tasks stand
-        still; since nothing ended there, it looked idle.
+        Its agent answers and reports normally while its tasks make no
+        progress; since nothing ended there, it seemed idle.
         """
-        self.assertFalse(self.watch((0, 20, 20, 20, 20)))
+        self.assertFalse(self.report_progress((0, 20, 20, 20, 20)))
 
-    def test_an_instance_where_something_moves_is_used(self):
-        self.assertTrue(self.watch((0, 20, 40, 60, 80)))
+    def test_an_instance_with_progress_is_used(self):
+        self.assertTrue(self.report_progress((0, 20, 40, 60, 80)))
 
-    def test_a_long_task_that_moves_slowly_tells_nothing(self):
-        self.assertTrue(self.watch((0, 0, 0, 0, 1), estimate_ms=300_000))
+    def test_slow_progress_of_a_long_task_is_no_evidence(self):
+        self.assertTrue(
+            self.report_progress((0, 0, 0, 0, 1), estimate_ms=300_000)
+        )
 
-    def test_an_end_of_an_unknown_kind_runs_again(self):
+    def test_a_run_with_an_unknown_kind_of_end_is_rerun(self):
         run = self.place(self.tasks[0])
         report = self.report()
         report.ended.add(number=1, task=run.task, run=1, how='melted')
         self.read(report)
         self.assertIn(self.tasks[0].key, self.job.waiting)
 
-    def test_a_refused_ticket_is_not_used_again(self):
-        """A step never starts: the same ticket is refused for ever."""
+    def test_a_refused_permit_is_not_used_again(self):
+        """A step never starts: the same permit is refused repeatedly."""
         run = self.place(self.tasks[0])
         step = self.tasks[0].step_name
         boot = self.instance.boot
@@ -117,7 +125,7 @@
         self.assertEqual({}, self.approvals.find_tickets(step, NOW))
 
     def refuse_starts(self, count):
-        """Have starts of a task refused in a row; return the last pause."""
+        """Refuse consecutive starts of a task; return the last backoff."""
         task = self.tasks[0]
         now = NOW
         for number in range(1, count + 1):
@@ -128,19 +136,19 @@
             self.read(report, now)
         return task.not_before - now
 
-    def test_a_start_that_is_refused_for_ever_comes_ever_later(self):
+    def test_a_repeatedly_refused_start_backs_off(self):
         """A step that no agent understands is claimed ten times a second.
 
-        Each of these claims is a write to the store, and goes on for as
-        long as the job is there.
+        Each claim is a write to the store, and the claims continue as long
+        as the job exists.
         """
         self.assertGreater(self.refuse_starts(30), 4.0)
 
-    def test_a_start_that_is_refused_some_times_comes_again_at_once(self):
-        """Room swings, and leaving agents refuse what is on its way."""
+    def test_an_occasionally_refused_start_is_retried_promptly(self):
+        """Capacity varies, and leaving agents refuse pending starts."""
         self.assertLess(self.refuse_starts(5), 0.2)
 
-    def test_a_run_that_began_ends_the_row_of_refusals(self):
+    def test_a_started_run_resets_the_refusals(self):
         self.refuse_starts(30)
         run = self.place(self.tasks[0])
         self.read(self.report(run))
@@ -153,8 +161,8 @@
     def test_an_end_counts_once(self):
         """A job fails after one failure of a task.
 
-        Ends are listed in each report until the leader's commit is
-        acknowledged, so that one failure is seen many times.
+        Ends are listed in each report until they are acknowledged after
+        the leader's commit, so one failure is reported many times.
         """
         run = self.place(self.tasks[0])
         report = self.report()
@@ -163,11 +171,11 @@
         self.read(report)
         self.assertEqual(1, self.tasks[0].state.failures)
 
-    def test_a_run_that_is_not_there_is_stopped_before_it_is_moved(self):
+    def test_an_absent_run_is_stopped_before_it_is_moved(self):
         """A build runs on two instances.
 
-        The answer to its start was lost and the order is carried out
-        seconds later, after the task was started elsewhere.
+        The answer to its start was lost and the start is executed seconds
+        later, after the task was started elsewhere.
         """
         run = self.place(self.tasks[0])
         reaction = self.read(self.report())
@@ -187,8 +195,8 @@
         report.pending.add(task=run.task, run=1)
         self.assertEqual([], self.read(report).stops)
 
-    def test_a_start_on_its_way_is_stopped_once_its_job_has_ended(self):
-        """A task of a failed job begins when its silent agent answers."""
+    def test_a_pending_start_is_stopped_once_its_job_has_ended(self):
+        """A task of a failed job starts once its silent agent answers."""
         run = self.place(self.tasks[0])
         report = self.report()
         report.pending.add(task=run.task, run=1)
@@ -199,10 +207,10 @@
         self.assertEqual([], self.read(report).stops)
 
     def test_a_stop_that_was_lost_is_ordered_again(self):
-        """A cancelled watcher runs on for ever.
+        """A cancelled long-running task is never stopped.
 
-        Its sidecar was just restarted and did not know its worker yet
-        when the stop came; the leader took the stop for given.
+        Its sidecar was just restarted and did not know its worker yet when
+        the stop arrived; the leader assumed that it was executed.
         """
         run = self.place(self.tasks[0])
         self.read(self.report(run))
@@ -213,7 +221,7 @@
         report.seen = 7
         self.assertEqual([run], self.read(report).stops)
 
-    def test_a_stop_under_way_is_not_ordered_again(self):
+    def test_a_pending_stop_is_not_ordered_again(self):
         run = self.place(self.tasks[0])
         self.read(self.report(run))
         run.phase = instances.RunPhase.STOPPING
@@ -221,10 +229,11 @@
         report.pending.add(task=run.task, run=1)
         self.assertEqual([], self.read(report).stops)
 
-    def test_a_run_that_nobody_wants_is_stopped_and_counted(self):
-        """An instance is filled beyond its size after a takeover.
+    def test_an_unwanted_run_is_stopped_and_counted(self):
+        """An instance exceeds its capacity after a change of leader.
 
-        It still runs what an earlier leader started there and gave up.
+        It still runs tasks that an earlier leader started there and
+        abandoned.
         """
         run = self.place(self.tasks[0])
         self.board.note_end(self.tasks[0], 1, board.End.LOST, '', 2)
@@ -234,7 +243,7 @@
         self.assertEqual(run.task, stopped.task)
         self.assertEqual(1000, self.instance.committed.millicores)
 
-    def test_what_an_earlier_boot_ran_is_lost(self):
+    def test_runs_of_an_earlier_boot_are_lost(self):
         run = self.place(self.tasks[0])
         report = self.report()
         report.boot = 'boot-2'
@@ -243,11 +252,11 @@
         self.assertIn(self.tasks[0].key, self.job.waiting)
         self.assertEqual(1, run.number)
 
-    def test_what_a_boot_that_is_over_ran_is_lost(self):
-        """A watcher whose instance was taken away never runs again.
+    def test_runs_of_an_ended_boot_are_lost(self):
+        """A long-running task of a removed instance never runs again.
 
-        The worker's agent said that it ends, and nothing came after it;
-        no later report names a boot.
+        The worker's agent announced its end, and no successor followed; no
+        later report contains a boot.
         """
         self.place(self.tasks[0])
         report = fleet_pb2.Report(over=['boot-1'])
@@ -255,9 +264,9 @@
         self.assertIn(self.tasks[0].key, self.job.waiting)
 
     def test_runs_of_a_silent_worker_are_lost_with_their_leases(self):
-        """A watcher whose worker crashed for good never runs again.
+        """A long-running task of a crashed worker never runs again.
 
-        Its sidecar lives on and reports what it last saw.
+        Its sidecar stays up and reports the last snapshot.
         """
         run = self.place(self.tasks[0])
         self.read(self.report(run, silent_seconds=3.0))
@@ -266,11 +275,11 @@
         self.assertIn(self.tasks[0].key, self.job.waiting)
 
     def test_work_that_was_done_outlasts_its_worker(self):
-        """A build is run anew although its sidecar saw that it was done.
+        """A build is rerun although its sidecar knows that it is done.
 
         The link to the leader was down when it ended, and its worker's
-        agent fell silent: the report told of both, the end and the leases
-        that are over, and the leader gave the run up first.
+        agent stopped answering: the report contained both the end and the
+        lapsed leases, and the leader abandoned the run first.
         """
         run = self.place(self.tasks[0])
         report = self.report(silent_seconds=8.0, lapsed=True)
@@ -286,14 +295,14 @@
         report = self.report(second)
         report.ended.add(number=1, task=run.task, run=1, how='done')
         self.assertEqual([second], self.read(report).stops)
-        self.assertEqual([self.tasks[0]], self.reader.take_recalled())
-        self.assertEqual([], self.reader.take_recalled())
+        self.assertEqual([self.tasks[0]], self.reader.pop_recalled())
+        self.assertEqual([], self.reader.pop_recalled())
 
     def test_one_gauge_below_the_target_ends_no_miss(self):
-        """A watcher is over its target for 4 s beside a build.
+        """A serving task exceeds its target for 4 s beside a build.
 
-        One gauge in between was off by half, so that the time over the
-        target was counted from its end on.
+        One gauge in between was off by half, which restarted the
+        measurement of the time over the target.
         """
         step = cases.make_step(1, latency_target_ms=10)
         run = cases.add_run(self.instance, step)
