--- a/src/persimmonsail/decisions/intake.py
+++ b/src/persimmonsail/decisions/intake.py
@@ -1,4 +1,4 @@
-"""Whether a holder accepts one more task of a team."""
+"""Admission control for tasks submitted to a partition's holder."""
 
 import collections
 import contextlib
@@ -13,60 +13,61 @@
 from persimmonsail import exceptions
 from persimmonsail import logs
 
-_MEDIAN = 50
-_TOO_MANY = 429
-_NEVER = 422
+_MEDIAN_PERCENTILE = 50
+_TOO_MANY_REQUESTS = 429
+_UNPROCESSABLE_CONTENT = 422
 
 
 class Intake:
-    """Refuses tasks that can never run or whose team's queue is full.
+    """Rejects tasks that can never run or whose team's queue is full.
 
     Parameters
     ----------
     fleet : persimmonsail.fleet.Fleet
         The entry's view of instances.
-    knowledge : persimmonsail.planner.Knowledge
-        What the entry has learnt.
+    learned : persimmonsail.planner.Knowledge
+        The entry's learned state.
     generator : random.Random
-        Spreads the times at which refused callers come back.
+        Adds jitter to the retry times of rejected callers.
     """
 
     def __init__(
         self,
         fleet: fleet_module.Fleet,
-        knowledge: planner_module.Knowledge,
+        learned: planner_module.Knowledge,
         generator: random.Random,
     ) -> None:
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._learned = learned
         self._generator = generator
         self._pending: t.Counter[str] = collections.Counter()
-        self._coming: dict[str, str] = {}
-        self._drains: dict[str, retryafter.Drain] = {}
+        self._committing: dict[str, str] = {}
+        self._schedulers: dict[str, retryafter.RetryScheduler] = {}
 
     def note_pending(self, pending: t.Iterable[tasks_module.Task]) -> None:
-        """Take in which tasks wait for a place."""
+        """Replace the counts of tasks waiting for a placement."""
         self._pending = collections.Counter(
-            task.team for task in pending if task.id not in self._coming
+            task.team for task in pending if task.id not in self._committing
         )
 
     @contextlib.contextmanager
     def admit(self, task: str, team: str) -> t.Iterator[None]:
-        """Count a task while it is committed, and after it was.
+        """Count a task during its commit and as pending afterwards.
 
-        It is in the table some time before the commit's caller runs on;
-        a round in between must not count it twice.
+        The task is in the table some time before the coroutine that
+        commits it resumes; a placement round in between must not count
+        it twice.
         """
-        self._coming[task] = team
+        self._committing[task] = team
         try:
             yield
             self._pending[team] += 1
         finally:
-            self._coming.pop(task, None)
+            self._committing.pop(task, None)
 
     def note_placed(self, team: str, now: float) -> None:
         """Count a task that has left its team's queue."""
-        self._find_drain(team).drained.note(now)
+        self._find_scheduler(team).drain_rate.note(now)
 
     def check(
         self,
@@ -75,36 +76,40 @@
         catalogue: catalogue_module.Catalogue,
         now: float,
     ) -> None:
-        """Check one more task of a workload.
+        """Check whether one more task of a workload is accepted.
 
         Raises
         ------
         persimmonsail.exceptions.NotAccepted
-            If it is refused; it did not run and never will.
+            If the task is rejected; it has not run and never will.
         """
-        if task in self._coming:
-            # An earlier request with the same key may yet be accepted;
-            # 'not run' would then be false.
+        if task in self._committing:
+            # An earlier request with the same key may still be accepted;
+            # answering 'not run' would then be wrong.
             return
         workload = catalogue.workloads[name]
-        if self._knowledge.is_settled(self._fleet, now):
+        if self._learned.is_settled(self._fleet, now):
             reason = planner_module.find_impossible(
                 workload, catalogue, self._fleet.list_all()
             )
             if reason:
-                raise exceptions.NotAccepted(reason, _NEVER, 0.0)
+                raise exceptions.NotAccepted(
+                    reason, _UNPROCESSABLE_CONTENT, 0.0
+                )
         team = workload.owner
-        coming = sum(other == team for other in self._coming.values())
-        pending = self._pending[team] + coming
+        committing = sum(other == team for other in self._committing.values())
+        pending = self._pending[team] + committing
         ahead = pending - catalogue.teams[team].max_pending + 1
         if ahead > 0:
-            self._refuse_full(name, team, ahead, now)
+            self._reject_full_queue(name, team, ahead, now)
 
-    def _refuse_full(
+    def _reject_full_queue(
         self, name: str, team: str, ahead: int, now: float
     ) -> None:
-        seconds = self._knowledge.learner.estimate_seconds(name, _MEDIAN, 1.0)
-        retry_after = self._find_drain(team).find_retry_after(
+        seconds = self._learned.learner.estimate_seconds(
+            name, _MEDIAN_PERCENTILE, 1.0
+        )
+        retry_after = self._find_scheduler(team).find_retry_after(
             now, ahead, 1 / max(seconds, 1.0)
         )
         logs.write_event(
@@ -113,14 +118,14 @@
             workload=name,
             pending=self._pending[team],
             ahead=ahead,
-            drained_per_second=self._find_drain(team).drained.find(now),
+            drained_per_second=self._find_scheduler(team).drain_rate.find(now),
             retry_after=retry_after,
         )
         raise exceptions.NotAccepted(
-            f'the queue of {team} is full', _TOO_MANY, retry_after
+            f'the queue of {team} is full', _TOO_MANY_REQUESTS, retry_after
         )
 
-    def _find_drain(self, team: str) -> retryafter.Drain:
-        if team not in self._drains:
-            self._drains[team] = retryafter.Drain(self._generator)
-        return self._drains[team]
+    def _find_scheduler(self, team: str) -> retryafter.RetryScheduler:
+        if team not in self._schedulers:
+            self._schedulers[team] = retryafter.RetryScheduler(self._generator)
+        return self._schedulers[team]
--- a/src/persimmonsail/decisions/ladder.py
+++ b/src/persimmonsail/decisions/ladder.py
@@ -1,15 +1,16 @@
-"""The ladder of answers to interference on one instance.
-
-Placing well comes first (see ``placement``). Where a latency-critical
-class is slowed all the same, the worst batch task is throttled, and if
-that is not enough it is evicted with a checkpoint.
-
-Four things keep the ladder from oscillating. Acting starts above a
-higher slowdown than letting go needs. A task is only let go if the
-slowdown predicted *after* that is low enough, so the relief that its
-own throttle brought does not release it. And after any action on an
-instance nothing more is done there until its effect can be seen. And
-each throttle soon after a release doubles the wait for the next one.
+"""Escalating responses to interference on one instance.
+
+Placement is the first defence (see ``placement``). If a
+latency-critical class is slowed down nevertheless, the batch task that
+interferes most is throttled, and if that is not enough, it is evicted
+with a checkpoint.
+
+Four rules prevent oscillation. The threshold for throttling is higher
+than that for release (hysteresis). A task is released only if the
+slowdown predicted *after* the release is low enough; the improvement
+that its own throttling brought does not count. After each action on an
+instance, none follows there until its effect is measurable. And each
+throttling soon after a release doubles the wait before the next one.
 """
 
 import collections
@@ -21,19 +22,19 @@
 from persimmonsail.decisions import objectives
 
 SETTLE_SECONDS = 3.0
-_MAX_LAG = 5.0
+_MAX_LAG_SECONDS = 5.0
 _MIN_DEMAND = 0.01
-_PATIENCE = 2
-_RELEASE_PATIENCE = 5
-_RELAPSE_SECONDS = 60.0
+_MIN_SLOW_EVALUATIONS = 2
+_MIN_CALM_EVALUATIONS = 5
+_RELAPSE_WINDOW_SECONDS = 60.0
 _MAX_RELAPSES = 6
-_MIN_TERM = 0.05
-_RELIEF = 0.5
-_UNDISTURBED = interference.Estimate('', 1.0, ())
+_MIN_EXCESS = 0.05
+_MIN_EVICTION_RELIEF = 0.5
+_NO_INTERFERENCE = interference.Estimate('', 1.0, ())
 
 
 class Kind(enum.StrEnum):
-    """What is done to a task."""
+    """An action on a task."""
 
     THROTTLE = 'throttle'
     RELEASE = 'release'
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RunningTask:
-    """A batch task; ``share`` of the cores is that at full speed."""
+    """A batch task; ``share`` is its part of the cores at full speed."""
 
     task: str
     workload: str
@@ -52,11 +53,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Situation:
-    """What is known of one instance.
+    """The observed state of one instance.
 
-    ``demand`` has the part of the slots that each latency-critical
-    class keeps busy, ``waiting`` the requests queued for each slot;
-    ``lag`` is the age of usage reports in seconds.
+    ``demand`` is the part of the slots that each latency-critical class
+    occupies, ``waiting`` the number of queued requests per slot and
+    ``lag`` the age of usage reports in seconds.
     """
 
     instance: str
@@ -66,18 +67,18 @@
     waiting: float = 0.0
 
     def find_delay(self, slowdown: float) -> float:
-        """Return the factor on an answer's time, queue included.
+        """Return the factor on response time, including queueing.
 
-        Without the queue, an instance on which every class is slowed
-        only a little could be overloaded for good: each slot is held
-        longer than requests take to come.
+        If queueing were ignored, an instance on which every class is
+        slowed only slightly could stay overloaded permanently: slots
+        are occupied longer than the interval between arrivals.
         """
         return slowdown * (1.0 + self.waiting)
 
 
 @dataclasses.dataclass(frozen=True)
 class Action:
-    """One step, with the terms it was decided by."""
+    """An action, with the estimate's terms that led to it."""
 
     kind: Kind
     instance: str
@@ -89,7 +90,7 @@
 
 
 class EvictionBudget:
-    """A token bucket that bounds evictions over all instances."""
+    """A token bucket that limits evictions across all instances."""
 
     def __init__(
         self, clock: t.Callable[[], float], per_second: float, burst: float
@@ -98,14 +99,14 @@
         self._rate = per_second
         self._burst = burst
         self._tokens = burst
-        self._filled_at = clock()
+        self._refilled_at = clock()
 
-    def try_spend(self) -> bool:
-        """Take one eviction out, if any is left."""
+    def try_acquire(self) -> bool:
+        """Consume one eviction; return false if none is available."""
         now = self._clock()
-        gained = (now - self._filled_at) * self._rate
-        self._tokens = min(self._burst, self._tokens + gained)
-        self._filled_at = now
+        refilled = (now - self._refilled_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + refilled)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -113,41 +114,41 @@
 
 
 @dataclasses.dataclass
-class _Memory:
-    """What the ladder remembers of one instance."""
+class _State:
+    """The ladder's state for one instance."""
 
     settled_at: float = 0.0
-    bad: int = 0
-    good: int = 0
+    slow_evaluations: int = 0
+    calm_evaluations: int = 0
     relapses: int = 0
-    released_at: float = -_RELAPSE_SECONDS
+    released_at: float = -_RELAPSE_WINDOW_SECONDS
 
     def note(self, kind: Kind, now: float) -> None:
-        """Remember an action, and whether it undid a recent release."""
-        self.bad = self.good = 0
+        """Record an action, and whether it reverts a recent release."""
+        self.slow_evaluations = self.calm_evaluations = 0
         if kind is Kind.RELEASE:
             self.released_at = now
-        elif now - self.released_at < _RELAPSE_SECONDS:
+        elif now - self.released_at < _RELAPSE_WINDOW_SECONDS:
             self.relapses = min(self.relapses + 1, _MAX_RELAPSES)
-            self.released_at = -_RELAPSE_SECONDS
+            self.released_at = -_RELAPSE_WINDOW_SECONDS
 
     @property
-    def release_patience(self) -> int:
-        """How many good looks in a row a release takes."""
-        return _RELEASE_PATIENCE * 2**self.relapses
+    def min_calm_evaluations(self) -> int:
+        """Consecutive evaluations below the threshold for a release."""
+        return _MIN_CALM_EVALUATIONS * 2**self.relapses
 
 
 class Ladder:
-    """Decides one action at a time for each instance.
+    """Decides at most one action at a time for each instance.
 
     Parameters
     ----------
     estimator : persimmonsail.interference.Estimator
         Predicts slowdowns.
     weights : persimmonsail.objectives.Objectives
-        The owners' objectives, which set the thresholds.
+        The owners' objectives, which determine the thresholds.
     budget : EvictionBudget
-        Shared by all instances.
+        Shared between all instances.
     clock : callable
         Returns monotonic seconds.
     """
@@ -163,43 +164,45 @@
         self._objectives = weights
         self._budget = budget
         self._clock = clock
-        self._memories: dict[str, _Memory] = collections.defaultdict(_Memory)
+        self._states: dict[str, _State] = collections.defaultdict(_State)
 
     def decide(
         self,
         situation: Situation,
         find_relief: t.Callable[[RunningTask], float],
     ) -> Action | None:
-        """Return the next step for an instance, if any is due.
+        """Return the next action for an instance, if one is due.
 
         Parameters
         ----------
         situation : Situation
-            The instance as it is known now.
+            The last observed state of the instance.
         find_relief : callable
-            Returns for a task which part of its interference would be
-            gone if it ran at the best other instance; 0 or less if none
-            has room.
+            Returns the part of a task's interference that moving it to
+            the best other instance would remove; 0 or less if no other
+            instance has free capacity.
         """
-        memory = self._memories[situation.instance]
-        if self._clock() < memory.settled_at:
+        state = self._states[situation.instance]
+        if self._clock() < state.settled_at:
             return None
         worst = self._find_worst(situation, situation.tasks)
         weights = self._objectives.find_weights(worst.victim)
         delay = situation.find_delay(worst.slowdown)
         slow = delay > weights.throttle_above
-        memory.bad = memory.bad + 1 if slow else 0
+        state.slow_evaluations = state.slow_evaluations + 1 if slow else 0
         if slow:
-            memory.good = 0
+            state.calm_evaluations = 0
         action = None
-        if memory.bad >= _PATIENCE:
-            action = self._tighten(situation, worst, weights, find_relief)
-        elif not memory.bad:
-            action = self._loosen(situation, memory)
+        if state.slow_evaluations >= _MIN_SLOW_EVALUATIONS:
+            action = self._throttle_or_evict(
+                situation, worst, weights, find_relief
+            )
+        elif not state.slow_evaluations:
+            action = self._release(situation, state)
         if action is not None:
-            settle = SETTLE_SECONDS + min(situation.lag, _MAX_LAG)
-            memory.settled_at = self._clock() + settle
-            memory.note(action.kind, self._clock())
+            settle = SETTLE_SECONDS + min(situation.lag, _MAX_LAG_SECONDS)
+            state.settled_at = self._clock() + settle
+            state.note(action.kind, self._clock())
         return action
 
     def _find_worst(
@@ -215,9 +218,11 @@
             for victim, demand in situation.demand.items()
             if demand >= _MIN_DEMAND
         ]
-        return max(estimates, key=lambda e: e.slowdown, default=_UNDISTURBED)
+        return max(
+            estimates, key=lambda e: e.slowdown, default=_NO_INTERFERENCE
+        )
 
-    def _tighten(
+    def _throttle_or_evict(
         self,
         situation: Situation,
         worst: interference.Estimate,
@@ -228,28 +233,32 @@
             term.aggressor: term.coefficient for term in worst.terms
         }
 
-        def find_term(task: RunningTask) -> float:
+        def find_excess(task: RunningTask) -> float:
             return coefficients[task.workload] * task.share
 
         delay = situation.find_delay(worst.slowdown)
-        noisy = [t for t in situation.tasks if find_term(t) >= _MIN_TERM]
-        noisy.sort(key=find_term, reverse=True)
-        for task in noisy:
+        aggressors = [
+            t for t in situation.tasks if find_excess(t) >= _MIN_EXCESS
+        ]
+        aggressors.sort(key=find_excess, reverse=True)
+        for task in aggressors:
             if task.speed > weights.slowest_speed:
                 target = (weights.throttle_above + weights.release_below) / 2
-                wanted = task.speed - (delay - target) / find_term(task)
-                speed = max(weights.slowest_speed, wanted)
-                return _act(Kind.THROTTLE, situation, task, speed, worst)
+                required = task.speed - (delay - target) / find_excess(task)
+                speed = max(weights.slowest_speed, required)
+                return _make_action(
+                    Kind.THROTTLE, situation, task, speed, worst
+                )
         if delay <= weights.evict_above:
             return None
-        for task in noisy:
-            if find_relief(task) >= _RELIEF:
-                if not self._budget.try_spend():
+        for task in aggressors:
+            if find_relief(task) >= _MIN_EVICTION_RELIEF:
+                if not self._budget.try_acquire():
                     return None
-                return _act(Kind.EVICT, situation, task, 0.0, worst)
+                return _make_action(Kind.EVICT, situation, task, 0.0, worst)
         return None
 
-    def _loosen(self, situation: Situation, memory: _Memory) -> Action | None:
+    def _release(self, situation: Situation, state: _State) -> Action | None:
         throttled = [task for task in situation.tasks if task.speed < 1.0]
         for task in sorted(throttled, key=lambda task: task.speed):
             after = [
@@ -263,15 +272,15 @@
             delay = situation.find_delay(worst.slowdown)
             if delay > weights.release_below:
                 continue
-            memory.good += 1
-            if memory.good < memory.release_patience:
+            state.calm_evaluations += 1
+            if state.calm_evaluations < state.min_calm_evaluations:
                 return None
-            return _act(Kind.RELEASE, situation, task, 1.0, worst)
-        memory.good = 0
+            return _make_action(Kind.RELEASE, situation, task, 1.0, worst)
+        state.calm_evaluations = 0
         return None
 
 
-def _act(
+def _make_action(
     kind: Kind,
     situation: Situation,
     task: RunningTask,
--- a/src/persimmonsail/decisions/quarantine.py
+++ b/src/persimmonsail/decisions/quarantine.py
@@ -1,10 +1,10 @@
-"""Quarantine of instances that fail what they start.
+"""Quarantine of instances on which tasks fail at start.
 
-Two parts act together. A sidecar's ``Probation`` bounds how many tasks
-an instance can take down before anybody has judged it. An entry's
-``Tracker`` judges from crossings: one job that fails on several
-instances is the job's fault, several jobs that fail on one instance are
-the instance's.
+Two mechanisms work together. A sidecar's ``Probation`` limits how many
+tasks can fail on an instance before its health has been assessed. An
+entry's ``Tracker`` correlates failures by job and instance: a job that
+fails on several instances is faulty itself, while several jobs failing
+on one instance point to a faulty instance.
 """
 
 import collections
@@ -15,50 +15,50 @@
 
 from persimmonsail import logs
 
-# So many tasks an instance may fail before it gets no more.
+# Failed tasks after which an instance receives no more.
 MAX_FAILURES = 3
-# At no time is a larger part of the fleet in quarantine; but in a fleet
-# of two to four, one instance may be.
+# The largest part of the fleet in quarantine at any time; in a fleet of
+# two to four, one instance is allowed nevertheless.
 MAX_SHARE = 0.2
-# A task that has run for so long counts as begun well (seconds).
-PROVED_AFTER = 1.0
-# A start of which nothing was heard for so long says nothing (seconds).
-UNHEARD_AFTER = 30.0
-# Until a canary may test an instance in quarantine (seconds); doubled
-# with each canary that fails.
+# A task that has run for this long counts as started successfully.
+PROVED_AFTER_SECONDS = 1.0
+# A start without any report for this long is not evidence either way.
+UNREPORTED_TIMEOUT_SECONDS = 30.0
+# Delay before a canary may test an instance in quarantine (seconds);
+# doubled with each canary sent.
 CANARY_DELAY = 30.0
-LONGEST_CANARY_DELAY = 600.0
+MAX_CANARY_DELAY = 600.0
 
-# Odds that an instance is bad before anything is known of it: the fleet
-# sees about one such instance in a hundred.
+# Prior odds that an instance is bad: about one in a hundred is.
 _PRIOR_LOG_ODDS = math.log(0.01 / 0.99)
-# What a bad instance does to any task.
-_BAD_FAILS = 0.95
-# A job's failures before any is known: as one in ten, weakly held.
-_JOB_FAILURES = 0.2
-_JOB_RUNS = 2.0
-_SMALLEST = 0.02
-_CERTAIN = math.log(0.8 / 0.2)
-# A job's older runs are halved at this many, so that a change shows.
-_KEPT_RUNS = 64
-# So many last runs of an instance are judged.
-_KEPT_ENDS = 16
+# Probability that a task fails on a bad instance.
+_BAD_INSTANCE_FAILURE_RATE = 0.95
+# Weak prior for the failure rate of a job: one in ten.
+_PRIOR_JOB_FAILURES = 0.2
+_PRIOR_JOB_RUNS = 2.0
+_MIN_FAILURE_RATE = 0.02
+_BAD_LOG_ODDS = math.log(0.8 / 0.2)
+# A job's counts are halved at this many runs, so that recent ones weigh
+# more and a change becomes visible.
+_MAX_JOB_RUNS = 64
+# Number of latest outcomes that an instance is assessed by.
+_MAX_OUTCOMES = 16
 
 
 class Probation:
-    """A sidecar's bound on tasks that have not yet begun well.
+    """A sidecar's limit on tasks not yet known to run successfully.
 
-    An instance that fails everything at once looks idle, so several
-    entries send it work before the first failure is known. Starts that
-    are neither ended nor proved count together with the failures in a
-    row, and both together never exceed the bound.
+    An instance on which every task fails immediately looks idle, so
+    several entries send it work before the first failure is reported.
+    Unproved starts (neither ended nor running for long enough) and
+    consecutive failures together never exceed the limit.
 
     Parameters
     ----------
     clock : callable, optional
         Returns monotonic seconds.
     limit : int, optional
-        The bound.
+        The limit.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
 
     @property
     def unproved(self) -> int:
-        """Starts that have neither ended nor proved themselves."""
+        """Number of starts that are still unproved."""
         return len(self._unproved)
 
     def find_refusal(self, canary: bool) -> str:
-        """Return why a start is refused now; empty if it is not."""
-        self._forget_old()
+        """Return why a start is rejected now; empty if it is not."""
+        self._drop_expired()
         if canary:
             return 'a canary is running' if self._unproved else ''
         if self.failures >= self._limit:
@@ -88,11 +88,11 @@
         return ''
 
     def note_start(self, task: str, attempt: int) -> None:
-        """Count a start until it has ended or proved itself."""
+        """Count a start as unproved."""
         self._unproved[task, attempt] = self._clock()
 
     def note_phase(self, task: str, attempt: int, phase: str) -> None:
-        """Take in how the worker says that an attempt stands."""
+        """Handle the phase that the worker reports for an attempt."""
         if phase == 'active':
             self.note_active(task, attempt)
         elif phase == 'succeeded':
@@ -103,37 +103,40 @@
             self.forget(task, attempt)
 
     def note_active(self, task: str, attempt: int) -> None:
-        """Take in that a task still runs; after a while that is proof."""
-        began = self._unproved.get((task, attempt))
-        if began is not None and self._clock() - began >= PROVED_AFTER:
+        """Count a task that still runs after a while as a success."""
+        started_at = self._unproved.get((task, attempt))
+        if (
+            started_at is not None
+            and self._clock() - started_at >= PROVED_AFTER_SECONDS
+        ):
             self.note_success(task, attempt)
 
     def note_success(self, task: str, attempt: int) -> None:
-        """Take in that a task ended well, or has run long enough."""
+        """Handle a task's success, or that it has run long enough."""
         if self._unproved.pop((task, attempt), None) is not None:
             self.failures = 0
 
     def note_failure(self, task: str, attempt: int) -> None:
-        """Take in that a task failed before it had proved itself."""
+        """Handle a task's failure, counted only while it is unproved."""
         if self._unproved.pop((task, attempt), None) is not None:
             self.failures += 1
 
     def forget(self, task: str, attempt: int) -> None:
-        """Drop a start that says nothing about the instance."""
+        """Discard a start that is no evidence about the instance."""
         self._unproved.pop((task, attempt), None)
 
-    def _forget_old(self) -> None:
-        # The holder that would have asked may be gone, and its tasks
-        # with it; they must not block the instance for ever.
-        oldest = self._clock() - UNHEARD_AFTER
-        for key, began in list(self._unproved.items()):
-            if began < oldest:
+    def _drop_expired(self) -> None:
+        # The holder that polled these tasks may be gone, and they with
+        # it; they must not block the instance forever.
+        cutoff = self._clock() - UNREPORTED_TIMEOUT_SECONDS
+        for key, started_at in list(self._unproved.items()):
+            if started_at < cutoff:
                 del self._unproved[key]
 
 
 @dataclasses.dataclass
-class _Job:
-    """Runs of one job, and where it failed how often."""
+class _JobHistory:
+    """Runs of one job, and its failures by instance."""
 
     runs: float = 0.0
     failures: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -144,23 +147,23 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _End:
+class _Outcome:
     job: str
     failed: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class Verdict:
-    """How an instance is judged, and the terms of the judgement.
+    """The assessed health of an instance, and what it is based on.
 
     Attributes
     ----------
     log_odds : float
         Natural logarithm of the odds that the instance is bad.
     streak : int
-        Failures in a row that this entry saw there last.
+        Latest consecutive failures that this entry observed there.
     jobs : int
-        How many different jobs failed in that streak.
+        Number of distinct jobs that failed in that streak.
     """
 
     log_odds: float
@@ -169,14 +172,14 @@
 
     @property
     def is_bad(self) -> bool:
-        """Whether the instance, not its jobs, is to blame."""
-        return self.streak > 1 and self.log_odds >= _CERTAIN
+        """Whether the instance, not its jobs, causes the failures."""
+        return self.streak > 1 and self.log_odds >= _BAD_LOG_ODDS
 
 
 @dataclasses.dataclass
 class _Quarantine:
     since: float
-    tested: float
+    tested_at: float
     delay: float = CANARY_DELAY
 
 
@@ -184,7 +187,7 @@
 
 
 def register(name: str) -> t.Callable[[type], type]:
-    """Add a kind of tracker under a name."""
+    """Register a tracker class under a name."""
 
     def add(kind: type) -> type:
         POLICIES[name] = kind
@@ -195,78 +198,80 @@
 
 @register('crossings')
 class Tracker:
-    """An entry's crossings of jobs and instances.
+    """An entry's correlation of failures by job and instance.
 
     Parameters
     ----------
     max_share : float, optional
-        The largest part of the fleet that is in quarantine at once.
+        The largest part of the fleet in quarantine at any time.
 
     Attributes
     ----------
     most_risked : int
-        So many starts may be failed or unproved on one instance.
+        Limit on failed and unproved starts on one instance.
     """
 
     most_risked = MAX_FAILURES
 
     def __init__(self, max_share: float = MAX_SHARE) -> None:
         self._max_share = max_share
-        self._ends: dict[str, collections.deque[_End]] = {}
-        self._jobs: dict[str, _Job] = {}
-        self._held: dict[str, _Quarantine] = {}
+        self._outcomes: dict[str, collections.deque[_Outcome]] = {}
+        self._jobs: dict[str, _JobHistory] = {}
+        self._quarantined: dict[str, _Quarantine] = {}
 
     def note(self, job: str, instance: str, failed: bool) -> None:
-        """Take the end of one attempt in."""
-        ends = self._ends.setdefault(
-            instance, collections.deque(maxlen=_KEPT_ENDS)
+        """Record the outcome of one attempt."""
+        outcomes = self._outcomes.setdefault(
+            instance, collections.deque(maxlen=_MAX_OUTCOMES)
         )
-        ends.append(_End(job, failed))
-        counts = self._jobs.setdefault(job, _Job())
-        if counts.runs >= _KEPT_RUNS:
-            counts.halve()
-        counts.runs += 1
+        outcomes.append(_Outcome(job, failed))
+        history = self._jobs.setdefault(job, _JobHistory())
+        if history.runs >= _MAX_JOB_RUNS:
+            history.halve()
+        history.runs += 1
         if failed:
-            known = counts.failures.get(instance, 0.0)
-            counts.failures[instance] = known + 1
+            previous = history.failures.get(instance, 0.0)
+            history.failures[instance] = previous + 1
 
     def judge(self, instance: str) -> Verdict:
-        """Judge an instance by what its jobs did elsewhere.
+        """Assess an instance relative to its jobs' results elsewhere.
 
-        A cumulative sum that never falls below the prior: an instance
-        that did well for a week and then breaks is judged by what it
-        does since, not by the week.
+        The log odds are a cumulative sum (CUSUM) that never falls below
+        the prior: an instance that breaks after a week without failures
+        is assessed by its outcomes since, not by that week.
         """
         log_odds = _PRIOR_LOG_ODDS
         streak: list[str] = []
-        for end in self._ends.get(instance, ()):
-            rate = self.estimate_failures(end.job, without=instance)
-            if end.failed:
-                log_odds += math.log(_BAD_FAILS / rate)
-                streak.append(end.job)
+        for outcome in self._outcomes.get(instance, ()):
+            rate = self.estimate_failures(outcome.job, excluding=instance)
+            if outcome.failed:
+                log_odds += math.log(_BAD_INSTANCE_FAILURE_RATE / rate)
+                streak.append(outcome.job)
             else:
-                log_odds += math.log((1 - _BAD_FAILS) / (1 - rate))
+                log_odds += math.log(
+                    (1 - _BAD_INSTANCE_FAILURE_RATE) / (1 - rate)
+                )
                 streak.clear()
             log_odds = max(log_odds, _PRIOR_LOG_ODDS)
         return Verdict(log_odds, len(streak), len(set(streak)))
 
-    def estimate_failures(self, job: str, without: str = '') -> float:
-        """Return how often a job fails, leaving one instance out.
+    def estimate_failures(self, job: str, excluding: str = '') -> float:
+        """Return a job's failure rate, excluding one instance.
 
-        Leaving the instance out is what tells the two apart: its own
-        failures would otherwise make each of its jobs look bad.
+        The exclusion separates the two causes: a bad instance's own
+        failures would otherwise make each of its jobs look faulty.
         """
-        counts = self._jobs.get(job, _Job())
-        left_out = counts.failures.get(without, 0.0)
-        failures = sum(counts.failures.values()) - left_out
-        rate = (failures + _JOB_FAILURES) / (
-            max(counts.runs - left_out, failures) + _JOB_RUNS
+        history = self._jobs.get(job, _JobHistory())
+        excluded = history.failures.get(excluding, 0.0)
+        failures = sum(history.failures.values()) - excluded
+        rate = (failures + _PRIOR_JOB_FAILURES) / (
+            max(history.runs - excluded, failures) + _PRIOR_JOB_RUNS
         )
-        return min(max(rate, _SMALLEST), 1 - _SMALLEST)
+        return min(max(rate, _MIN_FAILURE_RATE), 1 - _MIN_FAILURE_RATE)
 
     def is_to_blame(self, job: str) -> bool:
-        """Whether a job failed on several instances that do well."""
-        failed = self._jobs.get(job, _Job()).failures
+        """Whether a job failed on several healthy instances."""
+        failed = self._jobs.get(job, _JobHistory()).failures
         good = [name for name in failed if not self.judge(name).is_bad]
         return len(good) > 1 and self.estimate_failures(job) > 0.5
 
@@ -278,8 +283,8 @@
         Parameters
         ----------
         reported : mapping of str to int
-            The failures in a row that each live instance reports; they
-            count what the jobs of other entries met there.
+            The consecutive failures that each live instance reports;
+            they include tasks from other entries.
         now : float
             Monotonic seconds.
         """
@@ -296,40 +301,45 @@
                 name,
             ),
         )
-        most = self._find_most(len(reported))
-        chosen = {name: suspects[name] for name in worst[:most]}
-        for name in set(self._held) - set(chosen):
-            del self._held[name]
+        limit = self._find_max_quarantined(len(reported))
+        chosen = {name: suspects[name] for name in worst[:limit]}
+        for name in set(self._quarantined) - set(chosen):
+            del self._quarantined[name]
             logs.write_event('quarantine-ended', instance=name)
-        for name in chosen.keys() - self._held.keys():
-            self._held[name] = _Quarantine(now, now)
+        for name in chosen.keys() - self._quarantined.keys():
+            self._quarantined[name] = _Quarantine(now, now)
             _log_quarantine(name, chosen[name], reported[name], len(suspects))
         return chosen
 
-    def _find_most(self, live: int) -> int:
-        least = 1 if live > 1 else 0
-        return max(math.floor(live * self._max_share), least)
+    def _find_max_quarantined(self, live: int) -> int:
+        minimum = 1 if live > 1 else 0
+        return max(math.floor(live * self._max_share), minimum)
 
     def count_held(self) -> int:
         """Return how many instances are in quarantine."""
-        return len(self._held)
+        return len(self._quarantined)
 
     def may_test(self, instance: str, now: float) -> bool:
         """Whether a canary may test an instance in quarantine now."""
-        held = self._held.get(instance)
-        return held is not None and now - held.tested >= held.delay
+        quarantine = self._quarantined.get(instance)
+        return (
+            quarantine is not None
+            and now - quarantine.tested_at >= quarantine.delay
+        )
 
     def note_canary(self, instance: str, now: float) -> None:
-        """Remember that a canary was sent; the next waits longer."""
-        held = self._held.setdefault(instance, _Quarantine(now, now))
-        held.tested = now
-        held.delay = min(held.delay * 2, LONGEST_CANARY_DELAY)
+        """Record that a canary was sent and double the next delay."""
+        quarantine = self._quarantined.setdefault(
+            instance, _Quarantine(now, now)
+        )
+        quarantine.tested_at = now
+        quarantine.delay = min(quarantine.delay * 2, MAX_CANARY_DELAY)
 
     def _is_suspect(self, verdict: Verdict, failures: int) -> bool:
         if verdict.is_bad:
             return True
-        # Jobs that can never run make a good instance report failures;
-        # whoever saw all of them knows whose fault they were.
+        # Faulty jobs make a healthy instance report failures. An entry
+        # that observed all of them has already attributed them.
         return failures >= MAX_FAILURES and verdict.streak < failures
 
 
@@ -348,17 +358,17 @@
 
 
 @register('none')
-class BlindTracker(Tracker):
-    """Holds nothing against an instance; the baseline."""
+class NullTracker(Tracker):
+    """Never puts an instance in quarantine; the baseline."""
 
     most_risked = 1 << 30
 
     def select(
         self, reported: t.Mapping[str, int], now: float
     ) -> dict[str, Verdict]:
-        """Return nothing, whatever was reported."""
+        """Return no instance, whatever was reported."""
         return {}
 
     def is_to_blame(self, job: str) -> bool:
-        """Return that no job is."""
+        """Return false for every job."""
         return False
--- a/src/persimmonsail/decisions/quotas.py
+++ b/src/persimmonsail/decisions/quotas.py
@@ -1,8 +1,8 @@
-"""Quotas by team, and fair sharing when teams ask for more than exists.
+"""Quotas by team, and fair sharing when demand exceeds capacity.
 
-A team belongs to one partition, so its holder's accounts are exact. How
-much a team may rely on follows from the catalogue and the fleet alone:
-holders of different partitions agree on it without talking.
+A team belongs to one partition, so its holder's accounts are exact. A
+team's guaranteed part depends on the catalogue and the fleet only, so
+holders of different partitions agree on it without communication.
 """
 
 import dataclasses
@@ -15,14 +15,14 @@
 from persimmonsail.catalogues import catalogue
 from persimmonsail.decisions import admission
 
-# Teams above their entitlement leave this part of the room that tasks
-# may take, so that a team below its own starts without an eviction.
-RESERVE = 0.1
+# Teams above their entitlement leave this part of the capacity free, so
+# that a team below its own can start tasks without an eviction.
+RESERVE_FRACTION = 0.1
 
 
 @dataclasses.dataclass(frozen=True)
 class Charge:
-    """What one claimed task takes from its team's quota."""
+    """The resources one claimed task uses of its team's quota."""
 
     task: str
     team: str
@@ -32,17 +32,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """Whether a task may be placed now, and the terms that decided it.
+    """Whether a task may be placed now, and what decided it.
 
     Attributes
     ----------
     reason : str
         Why it waits; empty if it may be placed.
     share : float
-        The team's dominant share: the part of its quota that it takes
-        of the resource that it takes most of.
+        The team's dominant share: the largest part of its quota in use
+        over all resources.
     entitlement : float
-        The part of its quota that the fleet can give every team.
+        The part of their quotas that the fleet can give all teams.
     """
 
     reason: str
@@ -51,7 +51,7 @@
 
 
 class Accounts:
-    """What the partition's teams and workloads take now."""
+    """Current usage by the partition's teams and workloads."""
 
     def __init__(self) -> None:
         self._charges: dict[str, Charge] = {}
@@ -59,20 +59,20 @@
         self._running: dict[str, int] = {}
 
     def charge(self, charge: Charge) -> None:
-        """Charge a task to its team, once."""
+        """Charge a task to its team; idempotent."""
         if charge.task in self._charges:
             return
         self._charges[charge.task] = charge
         self._add(charge, 1)
 
     def release(self, task: str) -> None:
-        """Give back what a task was charged."""
+        """Release a task's charge, if any."""
         charge = self._charges.pop(task, None)
         if charge is not None:
             self._add(charge, -1)
 
     def keep_only(self, tasks: t.Container[str]) -> None:
-        """Release every charge but those of some tasks."""
+        """Release all charges except those of the given tasks."""
         for task in list(self._charges):
             if task not in tasks:
                 self.release(task)
@@ -82,7 +82,7 @@
         return self._teams.get(team, admission.Size())
 
     def count_running(self, workload: str) -> int:
-        """Return how many tasks of a workload are charged."""
+        """Return the number of charged tasks of a workload."""
         return self._running.get(workload, 0)
 
     def _add(self, charge: Charge, sign: int) -> None:
@@ -102,13 +102,13 @@
     return admission.Size(team.cores, team.memory_gb, team.accelerators)
 
 
-def find_share(usage: admission.Size, whole: admission.Size) -> float:
-    """Return the dominant share of a usage in a whole."""
+def find_share(usage: admission.Size, total: admission.Size) -> float:
+    """Return the dominant share of a usage in a total."""
     shares = [0.0]
     for used, limit in (
-        (usage.cores, whole.cores),
-        (usage.memory_gb, whole.memory_gb),
-        (usage.accelerators, whole.accelerators),
+        (usage.cores, total.cores),
+        (usage.memory_gb, total.memory_gb),
+        (usage.accelerators, total.accelerators),
     ):
         if limit > 0:
             shares.append(used / limit)
@@ -120,22 +120,22 @@
 def find_entitlement(
     teams: t.Iterable[catalogue.Team], capacity: admission.Size
 ) -> float:
-    """Return the part of its quota that every team can have at once.
+    """Return the part of their quotas that all teams can use at once.
 
     Parameters
     ----------
     teams : iterable of catalogue.Team
-        All teams of the catalogue, not only the partition's.
+        All teams of the catalogue, not just the partition's.
     capacity : admission.Size
-        What tasks may take on all live instances.
+        Allocatable resources on all live instances.
 
     Returns
     -------
     float
         Between 0 and 1; 1 if the quotas are not over-subscribed.
     """
-    promised = sum((read_quota(team) for team in teams), admission.Size())
-    share = find_share(promised, capacity)
+    total_quota = sum((read_quota(team) for team in teams), admission.Size())
+    share = find_share(total_quota, capacity)
     return 1.0 if share <= 1.0 else 1.0 / share
 
 
@@ -145,11 +145,11 @@
     Parameters
     ----------
     accounts : Accounts
-        What the partition's tasks take now.
+        Current usage by the partition's tasks.
     teams : mapping of str to catalogue.Team
         All teams of the catalogue in force.
     capacity, committed : admission.Size
-        What tasks may take on all live instances, and what is taken.
+        Allocatable and allocated resources on all live instances.
     """
 
     def __init__(
@@ -186,12 +186,12 @@
             reason = 'max-concurrent'
         elif not self._is_within_quota(team, size):
             reason = 'quota'
-        elif share >= self.entitlement and not self._has_reserve(size):
+        elif share >= self.entitlement and not self._leaves_reserve(size):
             reason = 'fair-share'
         return Decision(reason, share, self.entitlement)
 
     def note_placed(self, charge: Charge) -> None:
-        """Charge a task that is being placed in this round."""
+        """Charge a task that is placed in the current round."""
         self._accounts.charge(charge)
         self._committed = self._committed + charge.size
 
@@ -201,10 +201,10 @@
         usage = self._accounts.find_usage(team) + size
         return usage.fits(read_quota(self._teams[team]))
 
-    def _has_reserve(self, size: admission.Size) -> bool:
+    def _leaves_reserve(self, size: admission.Size) -> bool:
         limit = admission.Size(
-            self._capacity.cores * (1 - RESERVE),
-            self._capacity.memory_gb * (1 - RESERVE),
+            self._capacity.cores * (1 - RESERVE_FRACTION),
+            self._capacity.memory_gb * (1 - RESERVE_FRACTION),
             self._capacity.accelerators,
         )
         return (self._committed + size).fits(limit)
@@ -222,7 +222,7 @@
 
 
 def register(name: str) -> t.Callable[[Order], Order]:
-    """Add an order under a name."""
+    """Register an order under a name."""
 
     def add(order: Order) -> Order:
         ORDERS[name] = order
@@ -237,22 +237,22 @@
     workloads: t.Mapping[str, catalogue.Workload],
     policy: Policy,
 ) -> t.Iterator[tasks_module.Task]:
-    """Yield pending tasks as they came; the baseline."""
+    """Yield pending tasks in order of acceptance; the baseline."""
     return (task for task in pending if task.workload in workloads)
 
 
 @register('fair-share')
-def arrange(
+def arrange_by_fair_share(
     pending: t.Iterable[tasks_module.Task],
     workloads: t.Mapping[str, catalogue.Workload],
     policy: Policy,
 ) -> t.Iterator[tasks_module.Task]:
     """Yield pending tasks in the order in which they may be placed.
 
-    Urgent tasks go first. Then the team that takes least of its quota
-    is next, and each team's tasks go in the order of their acceptance;
-    shares are looked up anew after each task, so the caller charges a
-    task before it takes the next.
+    Urgent tasks come first. Among the others, and among the urgent, the
+    team with the smallest dominant share is next; each team's tasks
+    come in order of acceptance. Shares are recomputed after each task,
+    so the caller must charge a task before it requests the next.
     """
     queues: dict[bool, dict[str, list[tasks_module.Task]]] = {
         True: {},
@@ -262,16 +262,16 @@
         if (workload := workloads.get(task.workload)) is not None:
             teams = queues[workload.urgent]
             teams.setdefault(task.team, []).append(task)
-    yield from _take_turns(queues[True], policy)
-    yield from _take_turns(queues[False], policy)
+    yield from _interleave_teams(queues[True], policy)
+    yield from _interleave_teams(queues[False], policy)
 
 
-def _take_turns(
+def _interleave_teams(
     queues: dict[str, list[tasks_module.Task]], policy: Policy
 ) -> t.Iterator[tasks_module.Task]:
-    order = itertools.count()
+    tie_breaker = itertools.count()
     heap = [
-        (policy.find_share(team), next(order), team, iter(queue))
+        (policy.find_share(team), next(tie_breaker), team, iter(queue))
         for team, queue in queues.items()
     ]
     heapq.heapify(heap)
@@ -281,14 +281,14 @@
         if task is None:
             continue
         yield task
-        entry = (policy.find_share(team), next(order), team, queue)
+        entry = (policy.find_share(team), next(tie_breaker), team, queue)
         heapq.heappush(heap, entry)
 
 
 def note_task(
     accounts: Accounts, task: tasks_module.Task, size: admission.Size
 ) -> None:
-    """Bring the accounts in line with a task's phase in the ledger."""
+    """Update the accounts to a task's phase in the ledger."""
     if task.phase is records.TaskPhase.CLAIMED:
         accounts.charge(Charge(task.id, task.team, task.workload, size))
     else:
--- a/src/persimmonsail/decisions/retries.py
+++ b/src/persimmonsail/decisions/retries.py
@@ -1,23 +1,24 @@
-"""Budgets for retries and hedges.
+"""Budgets for retries and hedged requests.
 
-A count of tries for each request multiplies the load just when servers
-refuse most. A budget earned by successes bounds what retries add: when
-nothing succeeds, nothing is retried.
+A fixed number of attempts per request multiplies the load just when
+servers reject most requests. A budget replenished by successes bounds
+the load that retries add: if nothing succeeds, hardly anything is
+retried.
 """
 
 import abc
 import time
 import typing as t
 
-_EARNED = 0.1
+_TOKENS_PER_SUCCESS = 0.1
 _MAX_TOKENS = 20.0
-_TRICKLE = 1.0
+_TOKENS_PER_SECOND = 1.0
 
 POLICIES: dict[str, t.Callable[[], 'Budget']] = {}
 
 
 def register(name: str) -> t.Callable[[type], type]:
-    """Add a budget under a name."""
+    """Register a budget class under a name."""
 
     def add(cls: type) -> type:
         POLICIES[name] = cls
@@ -27,50 +28,52 @@
 
 
 class Budget(abc.ABC):
-    """Decides whether one more try may be made."""
+    """Decides whether another attempt is allowed."""
 
     @abc.abstractmethod
     def note_success(self) -> None:
-        """Take a request that was answered into account."""
+        """Account for a successful request."""
 
     @abc.abstractmethod
     def spend(self) -> bool:
-        """Take one try from the budget, if it has one."""
+        """Consume one attempt; return false if none is available."""
 
 
 @register('fraction')
 class FractionBudget(Budget):
-    """Tries up to a fraction of successes, and a small trickle.
+    """Allows a fraction of successes, plus a low constant rate.
 
     Parameters
     ----------
-    earned : float, optional
-        Tries earned by each success.
+    per_success : float, optional
+        Attempts added by each success.
     trickle : float, optional
-        Tries earned by each second, so that an idle entry may retry.
+        Attempts added per second, so that an idle entry can retry.
+    clock : callable, optional
+        Returns monotonic seconds.
     """
 
     def __init__(
         self,
-        earned: float = _EARNED,
-        trickle: float = _TRICKLE,
+        per_success: float = _TOKENS_PER_SUCCESS,
+        trickle: float = _TOKENS_PER_SECOND,
         clock: t.Callable[[], float] = time.monotonic,
     ) -> None:
-        self._earned = earned
-        self._trickle = trickle
+        self._per_success = per_success
+        self._per_second = trickle
         self._clock = clock
         self._tokens = _MAX_TOKENS / 2
-        self._filled_at = clock()
+        self._refilled_at = clock()
 
     def note_success(self) -> None:
         """See ``Budget.note_success``."""
-        self._add(self._earned)
+        self._add(self._per_success)
 
     def spend(self) -> bool:
         """See ``Budget.spend``."""
         now = self._clock()
-        self._add((now - self._filled_at) * self._trickle)
-        self._filled_at = now
+        self._add((now - self._refilled_at) * self._per_second)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -82,7 +85,7 @@
 
 @register('none')
 class NoBudget(Budget):
-    """Allows no try but the first."""
+    """Allows no attempt after the first."""
 
     def note_success(self) -> None:
         """See ``Budget.note_success``."""
--- a/src/persimmonsail/decisions/retryafter.py
+++ b/src/persimmonsail/decisions/retryafter.py
@@ -1,80 +1,85 @@
-"""When a refused caller should come back, drawn from the real backlog."""
+"""Retry-After times for rejected callers, from the measured drain rate."""
 
 import math
 import random
 
-SHORTEST = 0.5
-LONGEST = 300.0
-# Callers that were refused together come back spread by this part.
+MIN_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 300.0
+# Retry times are extended at random by up to this part, to spread
+# callers that were rejected together.
 JITTER = 0.25
-# Seconds over which a rate is averaged.
-_HORIZON = 30.0
+_TIME_CONSTANT_SECONDS = 30.0
 
 
 class Rate:
-    """A rate per second, averaged over the last half minute."""
+    """A rate per second, as an exponentially weighted average."""
 
-    def __init__(self, horizon: float = _HORIZON) -> None:
-        self._horizon = horizon
-        self._began: float | None = None
-        self._noted = 0.0
+    def __init__(self, time_constant: float = _TIME_CONSTANT_SECONDS) -> None:
+        self._time_constant = time_constant
+        self._started_at: float | None = None
+        self._updated_at = 0.0
         self._weight = 0.0
 
     def note(self, now: float, count: float = 1.0) -> None:
         """Count events; ``now`` is monotonic seconds."""
-        if self._began is None:
-            self._began = self._noted = now
-        self._weight = self._find_weight(now) + count
-        self._noted = now
+        if self._started_at is None:
+            self._started_at = self._updated_at = now
+        self._weight = self._find_decayed_weight(now) + count
+        self._updated_at = now
 
     def find(self, now: float) -> float:
-        """Return events per second; zero if none was seen."""
-        if self._began is None:
+        """Return events per second; zero if none was counted."""
+        if self._started_at is None:
             return 0.0
-        # A rate that began a second ago has no half minute to average
-        # over; at least a second, or the first event looks like many.
-        elapsed = max(now - self._began, 1.0)
-        seen = self._horizon * (1 - math.exp(-elapsed / self._horizon))
-        return self._find_weight(now) / seen
+        # Corrects for a history shorter than the time constant; at least
+        # a second, or the first event would look like a high rate.
+        elapsed = max(now - self._started_at, 1.0)
+        effective_seconds = self._time_constant * (
+            1 - math.exp(-elapsed / self._time_constant)
+        )
+        return self._find_decayed_weight(now) / effective_seconds
 
-    def _find_weight(self, now: float) -> float:
-        age = now - self._noted
-        return self._weight * math.exp(-age / self._horizon)
+    def _find_decayed_weight(self, now: float) -> float:
+        age = now - self._updated_at
+        return self._weight * math.exp(-age / self._time_constant)
 
 
-class Drain:
-    """Tells refused callers when there will be room for them.
+class RetryScheduler:
+    """Assigns retry times to rejected callers.
 
-    Each refusal takes a place in the time to come: a thousand callers
-    refused in one second are told a thousand different times, at the
-    rate at which the backlog drains, and do not come back as a wave.
+    Each rejection reserves a time slot of its own: a thousand callers
+    rejected in one second get a thousand different times, spaced at the
+    rate at which the backlog drains, and do not return as one burst.
     """
 
     def __init__(self, generator: random.Random) -> None:
-        self.drained = Rate()
+        self.drain_rate = Rate()
         self._generator = generator
-        self._next = -math.inf
+        self._next_slot = -math.inf
 
     def find_retry_after(
         self, now: float, ahead: float, fallback: float
     ) -> float:
-        """Return seconds after which a refused caller finds room.
+        """Return seconds after which a rejected caller should retry.
 
         Parameters
         ----------
         now : float
             Monotonic seconds.
         ahead : float
-            How many must drain before there is room for one more.
+            Number of items that must drain before one more is accepted.
         fallback : float
-            The rate per second to assume while none was measured.
+            Rate per second to assume until one has been measured.
         """
-        rate = self.drained.find(now) or fallback
+        rate = self.drain_rate.find(now) or fallback
         if rate <= 0:
-            return LONGEST
-        first = now + max(ahead, 1.0) / rate
-        self._next = min(
-            max(self._next + 1 / rate, first), now + LONGEST / (1 + JITTER)
+            return MAX_RETRY_SECONDS
+        earliest = now + max(ahead, 1.0) / rate
+        self._next_slot = min(
+            max(self._next_slot + 1 / rate, earliest),
+            now + MAX_RETRY_SECONDS / (1 + JITTER),
+        )
+        wait = (self._next_slot - now) * (
+            1 + JITTER * self._generator.random()
         )
-        wait = (self._next - now) * (1 + JITTER * self._generator.random())
-        return min(max(wait, SHORTEST), LONGEST)
+        return min(max(wait, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
--- a/src/persimmonsail/decisions/shedding.py
+++ b/src/persimmonsail/decisions/shedding.py
@@ -1,8 +1,9 @@
-"""Shedding of quick requests by class, before they cost anything.
+"""Load shedding of quick requests by class, before any work is done.
 
-An entry's gate for each service admits as many requests at once as the
-service's sidecars can serve with short queues. What is beyond gets its
-final answer at once, with a time to come back; it is never held.
+An entry has a gate for each service that limits outstanding requests to
+what the service's sidecars can serve with short queues. Requests beyond
+it are rejected immediately and finally, with a retry time; they are
+never queued at the entry.
 """
 
 import contextlib
@@ -19,30 +20,30 @@
 from persimmonsail import logs
 from persimmonsail import problems
 
-# Requests that are not urgent leave this part of the limit free.
+# Part of the limit that is reserved for urgent requests.
 URGENT_RESERVE = 0.3
-# More than this many queued for each slot makes the limit shrink.
-TARGET_QUEUE = 1.0
-SHRINK = 0.7
-# Between two changes of a limit (seconds): a report of the queues must
-# have come in after the last change before it can justify the next.
-ADAPT_PERIOD = 0.5
-# The limit stays between this part of an entry's even share of the
-# service's slots and this multiple of all of them. It begins at the
-# most: a burst is the sidecars' bounded queues' to take, and only queues
-# that are reported long show that there is more than a burst.
-LEAST_LIMIT = 1.0
-MOST_LIMIT = 4.0
+# The limit shrinks while more requests than this are queued per slot.
+TARGET_QUEUE_PER_SLOT = 1.0
+SHRINK_FACTOR = 0.7
+# Minimum time between two changes of a limit: queue lengths must be
+# reported after one change before they can justify the next.
+ADAPT_PERIOD_SECONDS = 0.5
+# The limit stays between this multiple of an entry's even share of the
+# service's slots and this multiple of all its slots. It starts at the
+# maximum: bursts are absorbed by the sidecars' bounded queues, and only
+# long reported queues show that there is more load than a burst.
+MIN_LIMIT_PER_SLOT = 1.0
+MAX_LIMIT_PER_SLOT = 4.0
 
 _DEFAULT_SECONDS = 0.1
-_PERCENTILE = 50
+_MEDIAN_PERCENTILE = 50
 
 
 @dataclasses.dataclass(frozen=True)
 class Capacity:
-    """What a service's live sidecars report together.
+    """The total capacity that a service's live sidecars report.
 
-    ``entries`` is how many entries send requests there.
+    ``entries`` is the number of entries that send requests there.
     """
 
     slots: int
@@ -50,24 +51,24 @@
     entries: int = 1
 
     @property
-    def pressure(self) -> float:
-        """Queued requests for each slot."""
+    def queued_per_slot(self) -> float:
+        """Queued requests per slot."""
         return self.queued / max(self.slots, 1)
 
 
 @dataclasses.dataclass(frozen=True)
 class Demand:
-    """A request that asks to be admitted; seconds are left to it."""
+    """A request to be admitted, with the seconds until its deadline."""
 
     workload: str
     urgent: bool
-    seconds: float
+    remaining_seconds: float
     max_concurrent: int
 
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """Whether a request is admitted, and the terms of the decision.
+    """Whether a request is admitted, and what decided it.
 
     ``reason`` is empty if it is; ``retry_after`` is in seconds.
     """
@@ -92,16 +93,16 @@
 
 
 def find_part(total: int, rank: int, parts: int) -> int:
-    """Return one part of a total that is split evenly over all ranks."""
-    whole, rest = divmod(total, max(parts, 1))
-    return whole + (rank < rest)
+    """Return the part of one rank in an even split of a total."""
+    quotient, remainder = divmod(total, max(parts, 1))
+    return quotient + (rank < remainder)
 
 
 POLICIES: dict[str, type['Gate']] = {}
 
 
 def register(name: str) -> t.Callable[[type], type]:
-    """Add a kind of gate under a name."""
+    """Register a gate class under a name."""
 
     def add(kind: type) -> type:
         POLICIES[name] = kind
@@ -112,13 +113,13 @@
 
 @register('none')
 class Gate:
-    """Admits everything; the baseline that shedding has to beat."""
+    """Admits everything; the baseline for comparison."""
 
     def __init__(
         self, learner: learning.Learner, generator: random.Random
     ) -> None:
         self.outstanding = 0
-        self.drain = retryafter.Drain(generator)
+        self.retry_scheduler = retryafter.RetryScheduler(generator)
         self._learner = learner
         self._running: dict[str, int] = {}
 
@@ -136,22 +137,22 @@
     def end(
         self, workload: str, now: float, seconds: float | None = None
     ) -> None:
-        """Count a request's end; ``seconds`` that it took, if served."""
+        """Count a request's end; ``seconds`` is its duration if served."""
         self.outstanding -= 1
         self._running[workload] -= 1
         if seconds is not None:
-            self.drain.drained.note(now)
+            self.retry_scheduler.drain_rate.note(now)
             self._learner.note_run(workload, seconds)
 
 
 @register('adaptive')
 class AdaptiveGate(Gate):
-    """Limits what is outstanding by the queues that sidecars report.
+    """Limits outstanding requests by the queues that sidecars report.
 
-    The limit falls by a third while queues are longer than the target
-    and rises by a slot while they are short and it is in use. A request
-    that could not be done before its deadline is refused as well: it
-    would take a slot from one that can.
+    The limit falls by 30 % while queues are longer than the target and
+    rises by at least one slot while they are short and it is in use. A
+    request that would miss its deadline is rejected as well: it would
+    occupy a slot that another request could use in time.
     """
 
     def __init__(
@@ -159,19 +160,19 @@
     ) -> None:
         super().__init__(learner, generator)
         self.limit = 0.0
-        self._adapted = -math.inf
+        self._adapted_at = -math.inf
 
     def decide(
         self, demand: Demand, capacity: Capacity, now: float
     ) -> Decision:
         """See ``Gate.decide``."""
         self._adapt(capacity, now)
-        limit = self.limit if demand.urgent else self._find_common_limit()
+        limit = self.limit if demand.urgent else self._find_regular_limit()
         seconds = self._learner.estimate_seconds(
-            demand.workload, _PERCENTILE, _DEFAULT_SECONDS
+            demand.workload, _MEDIAN_PERCENTILE, _DEFAULT_SECONDS
         )
         slots = capacity.slots / capacity.entries
-        wait = capacity.pressure * seconds
+        wait = capacity.queued_per_slot * seconds
         reason = ''
         if not capacity.slots:
             return Decision('', self.outstanding, limit, wait)
@@ -179,38 +180,38 @@
             reason = 'max-concurrent'
         elif self.outstanding >= limit:
             reason = 'overload'
-        elif wait + seconds > demand.seconds:
+        elif wait + seconds > demand.remaining_seconds:
             reason = 'deadline'
         retry_after = 0.0
         if reason:
             ahead = self.outstanding - limit + 1
-            retry_after = self.drain.find_retry_after(
+            retry_after = self.retry_scheduler.find_retry_after(
                 now, ahead, slots / seconds
             )
         return Decision(reason, self.outstanding, limit, wait, retry_after)
 
-    def _find_common_limit(self) -> float:
+    def _find_regular_limit(self) -> float:
         return max(self.limit * (1 - URGENT_RESERVE), 1.0)
 
     def _adapt(self, capacity: Capacity, now: float) -> None:
         slots = capacity.slots / capacity.entries
         if not self.limit:
-            self.limit = capacity.slots * MOST_LIMIT
-            self._adapted = now
-        if now - self._adapted >= ADAPT_PERIOD:
-            self._adapted = now
-            if capacity.pressure > TARGET_QUEUE:
-                self.limit *= SHRINK
-            elif self.outstanding >= self._find_common_limit():
+            self.limit = capacity.slots * MAX_LIMIT_PER_SLOT
+            self._adapted_at = now
+        if now - self._adapted_at >= ADAPT_PERIOD_SECONDS:
+            self._adapted_at = now
+            if capacity.queued_per_slot > TARGET_QUEUE_PER_SLOT:
+                self.limit *= SHRINK_FACTOR
+            elif self.outstanding >= self._find_regular_limit():
                 self.limit += max(slots / 16, 1.0)
-        least = max(slots * LEAST_LIMIT, 1.0)
-        # The balancer may bring one entry more than its even part.
-        most = max(capacity.slots * MOST_LIMIT, 1.0)
-        self.limit = min(max(self.limit, least), most)
+        min_limit = max(slots * MIN_LIMIT_PER_SLOT, 1.0)
+        # The load balancer may send one entry more than its even share.
+        max_limit = max(capacity.slots * MAX_LIMIT_PER_SLOT, 1.0)
+        self.limit = min(max(self.limit, min_limit), max_limit)
 
 
 class Request(t.Protocol):
-    """What the shedder reads of a quick request."""
+    """The attributes of a quick request that the shedder reads."""
 
     id: str
     workload: str
@@ -230,16 +231,16 @@
     fleet : persimmonsail.fleet.Fleet
         The entry's view of instances.
     generator : random.Random
-        Spreads the times at which refused callers come back.
+        Adds jitter to the retry times of rejected callers.
     policy : str, optional
-        The name of the kind of gate; see ``POLICIES``.
+        The registered name of the gate class; see ``POLICIES``.
     clock : callable, optional
         Returns monotonic seconds.
     name : str, optional
         This entry's name.
     list_entries : callable, optional
-        Returns the names of all live entries, among which concurrency
-        and slots are shared.
+        Returns the names of all live entries, which share concurrency
+        limits and slots.
     """
 
     def __init__(
@@ -256,7 +257,7 @@
         self.learner = learning.Learner()
         self._fleet = fleet
         self._generator = generator
-        self._kind = POLICIES[policy]
+        self._gate_class = POLICIES[policy]
         self._clock = clock
         self._gates: dict[str, Gate] = {}
 
@@ -264,8 +265,8 @@
     def admit(self, request: Request) -> t.Iterator[None]:
         """Count a request as outstanding while the context is open.
 
-        How long it took counts only if it was served: a refusal says
-        nothing about the work.
+        Its duration is learned only if it was served: a rejection says
+        nothing about the run time.
 
         Raises
         ------
@@ -274,9 +275,9 @@
         """
         decision = self.decide(request)
         if decision.reason:
-            raise _describe_refusal(request, decision)
+            raise _make_problem(request, decision)
         gate = self.find_gate(request.limits.service)
-        began = self._clock()
+        started_at = self._clock()
         gate.begin(request.workload)
         served = False
         try:
@@ -284,11 +285,11 @@
             served = True
         finally:
             now = self._clock()
-            seconds = now - began if served else None
+            seconds = now - started_at if served else None
             gate.end(request.workload, now, seconds)
 
     def decide(self, request: Request) -> Decision:
-        """Decide on a request, and log the terms of a refusal."""
+        """Decide on a request, and log a rejection with its reasons."""
         service = request.limits.service
         names = sorted({*self.list_entries(), self.name})
         capacity = read_capacity(self._fleet.list_live(service), len(names))
@@ -305,17 +306,19 @@
         gate = self.find_gate(service)
         decision = gate.decide(demand, capacity, self._clock())
         if decision.reason:
-            _log_refusal(request, capacity, decision)
+            _log_rejection(request, capacity, decision)
         return decision
 
     def find_gate(self, service: str) -> Gate:
         """Return a service's gate."""
         if service not in self._gates:
-            self._gates[service] = self._kind(self.learner, self._generator)
+            self._gates[service] = self._gate_class(
+                self.learner, self._generator
+            )
         return self._gates[service]
 
 
-def _log_refusal(
+def _log_rejection(
     request: Request, capacity: Capacity, decision: Decision
 ) -> None:
     logs.write_event(
@@ -335,11 +338,9 @@
     )
 
 
-def _describe_refusal(
-    request: Request, decision: Decision
-) -> problems.Problem:
+def _make_problem(request: Request, decision: Decision) -> problems.Problem:
     # Work under an idempotency key may have run for an earlier request,
-    # at this entry or at another; only the replay path would know.
+    # at this entry or at another; only the replay path can tell.
     work = problems.UNKNOWN if request.key else problems.NOT_RUN
     status = 429 if decision.reason == 'max-concurrent' else 503
     return problems.Problem(
--- a/src/persimmonsail/decisions/usage.py
+++ b/src/persimmonsail/decisions/usage.py
@@ -1,9 +1,10 @@
-"""Late usage reports, joined with who ran when they were measured.
+"""Joins delayed usage reports with the tasks that ran in their window.
 
-A worker's report comes seconds after the window it is about. By then
-other tasks may run on the instance; blaming those would teach the
-estimate the wrong pair. So the sidecar keeps a short history of which
-task ran when, and joins a report with the window's part of it.
+A worker's report arrives seconds after the window that it covers. By
+then other tasks may run on the instance; attributing the measurement to
+those would train the estimator on the wrong pair. So the sidecar keeps
+a short history of which tasks ran when, and joins each report with the
+part of it that falls into the report's window.
 """
 
 import collections
@@ -13,9 +14,9 @@
 from persimmonsail import control_pb2
 from persimmonsail.decisions import interference
 
-HORIZON = 120.0
+HISTORY_SECONDS = 120.0
 _MAX_LATENCIES = 8192
-_SHORTEST_WINDOW = 1e-3
+_MIN_WINDOW_SECONDS = 1e-3
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,8 +37,8 @@
 class Report:
     """What a worker measured between ``begin`` and ``end``.
 
-    Times are on the sidecar's monotonic clock; ``cores`` has the
-    average cores in use by task, and may lack some tasks.
+    Times are on the sidecar's monotonic clock; ``cores`` maps tasks to
+    their average cores in use and may lack some tasks.
     """
 
     begin: float
@@ -47,7 +48,7 @@
 
 
 class LatencyLog:
-    """Service times of the last requests, until their windows come."""
+    """Service times of recent requests, kept for delayed reports."""
 
     def __init__(self) -> None:
         self._ended: collections.deque[tuple[float, str, float]] = (
@@ -55,7 +56,7 @@
         )
 
     def note(self, workload: str, seconds: float, at: float) -> None:
-        """Note a request that has ended."""
+        """Record a request that has ended."""
         self._ended.append((at, workload, seconds))
 
     def find(self, begin: float, end: float) -> tuple[ClassLatency, ...]:
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskUse:
-    """What a worker measured of one task in one window."""
+    """A worker's measurement of one task in one window."""
 
     task: str
     workload: str
@@ -95,7 +96,7 @@
 
 @dataclasses.dataclass
 class _Segment:
-    """A stretch of time in which a task ran at one speed."""
+    """An interval in which a task ran at constant speed."""
 
     task: str
     workload: str
@@ -105,69 +106,78 @@
     end: float | None = None
 
     def overlap(self, begin: float, end: float) -> float:
-        last = end if self.end is None else min(end, self.end)
-        return max(0.0, last - max(begin, self.begin))
+        latest = end if self.end is None else min(end, self.end)
+        return max(0.0, latest - max(begin, self.begin))
 
 
 class Timeline:
-    """Which tasks ran on one instance, and at which speed.
+    """History of the tasks on one instance and their speeds.
 
     Parameters
     ----------
     cores : float
         The instance's processors.
     horizon : float, optional
-        Seconds of history that are kept.
+        Seconds for which history is retained.
     """
 
-    def __init__(self, cores: float, horizon: float = HORIZON) -> None:
-        self.horizon = horizon
+    def __init__(
+        self, cores: float, history_seconds: float = HISTORY_SECONDS
+    ) -> None:
+        self.history_seconds = history_seconds
         self._cores = cores
         self._running: dict[str, _Segment] = {}
-        self._past: collections.deque[_Segment] = collections.deque()
+        self._finished: collections.deque[_Segment] = collections.deque()
 
     def note_start(
         self, task: str, workload: str, cores: float, at: float
     ) -> None:
-        """Note that a task has started with these declared cores."""
+        """Record a task's start with its declared cores."""
         self.note_stop(task, at)
         self._running[task] = _Segment(task, workload, cores, 1.0, at)
 
     def note_speed(self, task: str, speed: float, at: float) -> None:
-        """Note that a task was throttled, or released."""
-        before = self._running.get(task)
-        if before is None or before.speed == speed:
+        """Record that a task was throttled or released."""
+        previous = self._running.get(task)
+        if previous is None or previous.speed == speed:
             return
         self.note_stop(task, at)
         self._running[task] = dataclasses.replace(
-            before, speed=speed, begin=at, end=None
+            previous, speed=speed, begin=at, end=None
         )
 
     def note_stop(self, task: str, at: float) -> None:
-        """Note that a task has left the instance."""
+        """Record that a task has left the instance."""
         segment = self._running.pop(task, None)
         if segment is None:
             return
         segment.end = at
-        self._past.append(segment)
-        while self._past and self._past[0].end < at - self.horizon:
-            self._past.popleft()
-
-    def note_use(self, task: str, cores: float) -> None:
-        """Remember what a running task was measured to use."""
+        self._finished.append(segment)
+        while (
+            self._finished
+            and self._finished[0].end < at - self.history_seconds
+        ):
+            self._finished.popleft()
+
+    def note_usage(self, task: str, cores: float) -> None:
+        """Record the measured core usage of a running task."""
         segment = self._running.get(task)
         if segment is not None and segment.speed > 0:
             segment.cores = cores / segment.speed
 
     def sync(self, window: Window) -> None:
-        """Bring the history up to what a worker saw in a window."""
-        seen = {use.task for use in window.tasks}
-        for task in [name for name in self._running if name not in seen]:
+        """Update the history to a worker's report on a window."""
+        reported = {use.task for use in window.tasks}
+        for task in [name for name in self._running if name not in reported]:
             self.note_stop(task, window.begin)
         for use in window.tasks:
             if use.task not in self._running:
-                full = use.cores / use.speed if use.speed else use.cores
-                self.note_start(use.task, use.workload, full, window.begin)
+                full_speed_cores = (
+                    use.cores / use.speed if use.speed else use.cores
+                )
+                self.note_start(
+                    use.task, use.workload, full_speed_cores, window.begin
+                )
             self.note_speed(use.task, use.speed, window.begin)
             if not use.active:
                 self.note_stop(use.task, window.end)
@@ -180,7 +190,7 @@
         ]
 
     def find_shares(self) -> dict[str, float]:
-        """Return the part of the cores used now, by class."""
+        """Return the part of the cores currently used, by class."""
         shares: dict[str, float] = {}
         for _, workload, share, speed in self.list_tasks():
             shares[workload] = shares.get(workload, 0.0) + share * speed
@@ -196,13 +206,13 @@
         begin, end : float
             The window in seconds.
         cores : mapping of str to float
-            Measured cores by task; what a task declared stands in where
-            its measurement is missing.
+            Measured cores by task; tasks without a measurement count
+            with their declared or last measured cores.
         """
-        length = max(end - begin, _SHORTEST_WINDOW)
+        window_seconds = max(end - begin, _MIN_WINDOW_SECONDS)
         shares: dict[str, float] = {}
-        for segment in (*self._past, *self._running.values()):
-            part = segment.overlap(begin, end) / length
+        for segment in (*self._finished, *self._running.values()):
+            part = segment.overlap(begin, end) / window_seconds
             if part <= 0:
                 continue
             used = cores.get(segment.task, segment.cores * segment.speed)
@@ -214,10 +224,10 @@
 
 
 class Joiner:
-    """Turns one instance's late reports into samples.
+    """Converts one instance's delayed reports into samples.
 
     ``lag`` is the age of the last report on arrival, in seconds;
-    ``dropped`` counts reports that came after the history they need.
+    ``dropped`` counts reports that are older than the history.
     """
 
     def __init__(self, timeline: Timeline, slots: int) -> None:
@@ -228,8 +238,8 @@
         self._slots = slots
 
     def join(self, report: Report, now: float) -> list[interference.Sample]:
-        """Return one sample for each class that the report measured."""
-        if report.begin < now - self._timeline.horizon:
+        """Return one sample for each class with requests in a report."""
+        if report.begin < now - self._timeline.history_seconds:
             self.dropped += 1
             return []
         self.lag = now - report.end
@@ -237,10 +247,10 @@
             report.begin, report.end, report.cores
         )
         for task, cores in report.cores.items():
-            self._timeline.note_use(task, cores)
-        length = max(report.end - report.begin, _SHORTEST_WINDOW)
+            self._timeline.note_usage(task, cores)
+        window_seconds = max(report.end - report.begin, _MIN_WINDOW_SECONDS)
         self.demand = {
-            latency.workload: latency.seconds / (length * self._slots)
+            latency.workload: latency.seconds / (window_seconds * self._slots)
             for latency in report.latencies
         }
         busy = sum(self.demand.values())
@@ -261,7 +271,7 @@
 def describe_shares(
     shares: t.Mapping[str, float],
 ) -> list[control_pb2.ClassShare]:
-    """Return the protocol's form; parts are rounded to a hundredth."""
+    """Return the protocol messages; parts are rounded to 1/100."""
     return [
         control_pb2.ClassShare(workload=name, part=round(part, 2))
         for name, part in sorted(shares.items())
@@ -271,14 +281,14 @@
 def read_shares(
     shares: t.Iterable[control_pb2.ClassShare],
 ) -> dict[str, float]:
-    """Read the protocol's form of shares."""
+    """Return the shares from protocol messages."""
     return {share.workload: share.part for share in shares}
 
 
 def describe_sample(
     sample: interference.Sample, now: float
 ) -> control_pb2.InterferenceSample:
-    """Return the protocol's form of a sample, with its age."""
+    """Return the protocol message of a sample, with its age."""
     return control_pb2.InterferenceSample(
         victim=sample.victim,
         seconds=sample.seconds,
@@ -292,7 +302,7 @@
 def read_sample(
     message: control_pb2.InterferenceSample, now: float
 ) -> interference.Sample:
-    """Read the protocol's form; the age is taken off this clock."""
+    """Return a sample; its age is subtracted from this clock's time."""
     return interference.Sample(
         message.victim,
         message.seconds,
--- a/tests/decisions/test_intake.py
+++ b/tests/decisions/test_intake.py
@@ -39,10 +39,8 @@
     def setUp(self):
         super().setUp()
         self.fleet = fleet.Fleet(3600.0)
-        self.knowledge = planner.Knowledge()
-        self.intake = intake.Intake(
-            self.fleet, self.knowledge, random.Random(1)
-        )
+        self.learned = planner.Knowledge()
+        self.intake = intake.Intake(self.fleet, self.learned, random.Random(1))
         self.fleet.note_report(
             control_pb2.SidecarReport(
                 instance='one',
@@ -53,29 +51,29 @@
     def check(self, task: str, workload: str = 'build', now: float = 0.0):
         self.intake.check(task, workload, CATALOGUE, now)
 
-    def refuse(self, *arguments) -> exceptions.NotAccepted:
+    def reject(self, *arguments) -> exceptions.NotAccepted:
         return self.assertRaises(
             exceptions.NotAccepted, self.check, *arguments
         )
 
-    def test_a_full_queue_is_refused_until_it_drains(self):
+    def test_full_queue_is_rejected_until_it_drains(self):
         self.intake.note_pending([make_task('1'), make_task('2')])
-        refusal = self.refuse('3')
-        self.assertEqual(429, refusal.status)
-        self.assertGreater(refusal.retry_after, 0)
+        rejection = self.reject('3')
+        self.assertEqual(429, rejection.status)
+        self.assertGreater(rejection.retry_after, 0)
         self.intake.note_pending([make_task('2')])
         self.check('3')
 
-    def test_tasks_under_way_to_the_ledger_count(self):
+    def test_tasks_being_committed_count(self):
         with self.intake.admit('1', 'a'), self.intake.admit('2', 'a'):
-            self.refuse('3')
+            self.reject('3')
             self.intake.note_pending([make_task('1')])
-            self.refuse('3')
-        self.refuse('3')
+            self.reject('3')
+        self.reject('3')
         self.intake.note_pending([])
         self.check('3')
 
-    def test_a_task_that_was_not_committed_does_not_count(self):
+    def test_uncommitted_task_does_not_count(self):
         for _ in range(5):
             try:
                 with self.intake.admit('1', 'a'):
@@ -84,27 +82,29 @@
                 continue
         self.check('2')
 
-    def test_a_key_under_way_is_not_refused_again(self):
-        """A caller is told "not run", and the build runs.
+    def test_repeated_key_being_committed_is_not_rejected(self):
+        """A caller must not get "not run" for a build that runs.
 
-        A request is on its way to the ledger, its caller repeats it
-        with the same key, and meanwhile the queue is full.
+        A request is being committed while its caller repeats it with
+        the same key and the queue has become full.
         """
         with self.intake.admit('1', 'a'), self.intake.admit('2', 'a'):
             self.check('1')
             with self.intake.admit('1', 'a'):
                 pass
 
-    def test_an_impossible_task_is_refused_once_membership_settled(self):
+    def test_impossible_task_is_rejected_once_membership_settled(self):
         self.check('1', 'huge')
-        refusal = self.refuse('1', 'huge', planner.SETTLING)
-        self.assertEqual(422, refusal.status)
-        self.assertEqual('fits no known instance', str(refusal))
-        self.assertEqual(0, refusal.retry_after)
+        rejection = self.reject('1', 'huge', planner.SETTLING)
+        self.assertEqual(422, rejection.status)
+        self.assertEqual('fits no known instance', str(rejection))
+        self.assertEqual(0, rejection.retry_after)
 
-    def test_the_time_to_come_back_follows_the_drain(self):
+    def test_retry_time_follows_the_drain_rate(self):
         for number in range(100):
             self.intake.note_placed('a', number / 10)
         self.intake.note_pending([make_task(str(n)) for n in range(101)])
-        refusal = self.refuse('3', 'build', 9.0)
-        self.assertTrue(8 <= refusal.retry_after <= 14, refusal.retry_after)
+        rejection = self.reject('3', 'build', 9.0)
+        self.assertTrue(
+            8 <= rejection.retry_after <= 14, rejection.retry_after
+        )
--- a/tests/decisions/test_ladder.py
+++ b/tests/decisions/test_ladder.py
@@ -17,11 +17,11 @@
     def test_burst_then_rate(self):
         now = [0.0]
         budget = ladder.EvictionBudget(lambda: now[0], 0.1, 2.0)
-        spent = [budget.try_spend() for _ in range(3)]
-        self.assertEqual([True, True, False], spent)
+        acquired = [budget.try_acquire() for _ in range(3)]
+        self.assertEqual([True, True, False], acquired)
         now[0] = 10.0
-        self.assertTrue(budget.try_spend())
-        self.assertFalse(budget.try_spend())
+        self.assertTrue(budget.try_acquire())
+        self.assertFalse(budget.try_acquire())
 
 
 class LadderTest(base.TestCase):
@@ -39,14 +39,14 @@
         )
 
     def run_for(self, seconds, tasks, relief=1.0, demand=None, waiting=0.0):
-        """Carry out what the ladder decides, once a second."""
+        """Apply the ladder's decisions, once a second."""
         actions = []
         running = {task.task: task for task in tasks}
         for second in range(seconds):
             self.now += 1.0
-            wanted = demand(second) if demand else {'check': 0.5}
+            load = demand(second) if demand else {'check': 0.5}
             situation = ladder.Situation(
-                'one', tuple(running.values()), wanted, waiting=waiting
+                'one', tuple(running.values()), load, waiting=waiting
             )
             action = self.ladder.decide(situation, lambda task: relief)
             if action is None:
@@ -59,7 +59,7 @@
                 )
         return actions
 
-    def test_harmless_tasks_are_left_alone(self):
+    def test_tasks_without_interference_are_not_throttled(self):
         self.assertEqual([], self.run_for(60, make_tasks(*['archive'] * 4)))
 
     def test_noisy_task_is_throttled_before_any_is_evicted(self):
@@ -71,20 +71,19 @@
         self.assertEqual(4, kinds[:first_eviction].count('throttle'))
         self.assertNotIn('0', [action.task for action in actions])
 
-    def test_mild_noise_is_throttled_where_requests_queue(self):
-        """A little noise everywhere must not overload the site for good.
+    def test_mild_interference_is_throttled_where_requests_queue(self):
+        """Mild interference everywhere must not cause lasting overload.
 
-        A user would see every check take a second, and it would not get
-        better. Each instance is slowed too little to be acted on, but
-        together the slots are held longer than requests take to come,
-        so the queues stay full.
+        The slowdown on each instance is too small to act on, but slots
+        are occupied longer than the interval between arrivals, so the
+        queues stay full and every check takes a second.
         """
         tasks = make_tasks('build', share=0.15)
         self.assertEqual([], self.run_for(30, tasks, relief=0.0))
         actions = self.run_for(30, tasks, relief=0.0, waiting=0.5)
         self.assertEqual(['throttle'], [action.kind for action in actions])
 
-    def test_nothing_is_evicted_without_a_better_place(self):
+    def test_nothing_is_evicted_without_a_better_instance(self):
         actions = self.run_for(120, make_tasks(*['build'] * 4), relief=0.0)
         self.assertNotIn('evict', [action.kind for action in actions])
 
@@ -93,19 +92,19 @@
         kinds = [action.kind for action in actions]
         self.assertEqual(2, kinds.count('evict'))
 
-    def test_steady_noise_never_oscillates(self):
-        """A throttle must not be taken back because it has helped.
+    def test_steady_interference_never_oscillates(self):
+        """A throttled task must not be released because that helped.
 
-        A user would see latencies rise and fall every few seconds. The
-        throttle brings the slowdown below the threshold, which looks
-        like a reason to let the task go, which brings it back.
+        Throttling brings the slowdown below the threshold; releasing
+        the task for that reason brings it back, so latencies rise and
+        fall every few seconds.
         """
         actions = self.run_for(600, make_tasks('build', 'build'), relief=0.0)
         kinds = [action.kind for action in actions]
         self.assertNotIn('release', kinds)
         self.assertLessEqual(len(kinds), 2)
 
-    def test_load_that_flickers_does_not_make_it_flicker(self):
+    def test_fast_load_variation_causes_few_actions(self):
         actions = self.run_for(
             600,
             make_tasks('build', 'build'),
@@ -114,8 +113,8 @@
         )
         self.assertLessEqual(len(actions), 4)
 
-    def test_slow_waves_make_it_let_go_less_and_less(self):
-        """Each relapse soon after letting go doubles the patience."""
+    def test_slow_load_variation_makes_releases_rarer(self):
+        """Each relapse soon after a release doubles the wait."""
         actions = self.run_for(
             1200,
             make_tasks('build', 'build'),
@@ -125,7 +124,7 @@
         releases = [a for a in actions if a.kind is ladder.Kind.RELEASE]
         self.assertLessEqual(len(releases), 4)
 
-    def test_task_is_let_go_once_requests_have_left(self):
+    def test_task_is_released_once_requests_have_ended(self):
         self.run_for(30, make_tasks('build', 'build'), relief=0.0)
         throttled = [
             dataclasses.replace(task, speed=0.5)
@@ -136,7 +135,7 @@
             ['release', 'release'], [action.kind for action in actions]
         )
 
-    def test_action_prints_its_terms(self):
+    def test_action_describes_its_terms(self):
         action = self.run_for(30, make_tasks('build', 'build'))[0]
         self.assertEqual('check', action.victim)
         self.assertGreater(action.slowdown, 1.7)
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -5,26 +5,26 @@
 
 
 def make_tracker(runs: int = 4) -> quarantine.Tracker:
-    """Return a tracker that has seen good jobs on good instances."""
+    """Return a tracker with successful jobs on healthy instances."""
     tracker = quarantine.Tracker()
     for number in range(runs):
-        for place, name in enumerate(NAMES):
-            tracker.note(f'job-{(number + place) % 3}', name, failed=False)
+        for index, name in enumerate(NAMES):
+            tracker.note(f'job-{(number + index) % 3}', name, failed=False)
     return tracker
 
 
 def report(**failures: int) -> dict[str, int]:
-    found = dict.fromkeys(NAMES, 0)
+    failures_by_instance = dict.fromkeys(NAMES, 0)
     for key, value in failures.items():
-        found[key.replace('_', '-')] = value
-    return found
+        failures_by_instance[key.replace('_', '-')] = value
+    return failures_by_instance
 
 
 class ProbationTest(base.TestCase):
-    def test_a_bad_instance_takes_three_tasks_down_at_most(self):
-        """A broken instance swallows a wave of builds.
+    def test_at_most_three_tasks_fail_on_a_bad_instance(self):
+        """A bad instance must not fail a whole burst of builds.
 
-        It fails at once whatever it starts, so it always looks idle;
+        Every task fails on it immediately, so it always looks idle, and
         three entries send it builds before the first failure is known.
         """
         probation = quarantine.Probation()
@@ -40,7 +40,7 @@
         self.assertEqual(3, len(started))
         self.assertEqual('in quarantine', probation.find_refusal(False))
 
-    def test_failures_shrink_the_room_for_unproved_starts(self):
+    def test_failures_lower_the_limit_on_unproved_starts(self):
         probation = quarantine.Probation()
         probation.note_start('a', 1)
         probation.note_failure('a', 1)
@@ -50,7 +50,7 @@
             'too many unproved starts', probation.find_refusal(False)
         )
 
-    def test_proved_starts_give_way_to_the_next(self):
+    def test_successful_starts_allow_the_next(self):
         probation = quarantine.Probation()
         for number in range(20):
             self.assertEqual('', probation.find_refusal(False))
@@ -58,35 +58,35 @@
             probation.note_success(f'task-{number}', 1)
         self.assertEqual(0, probation.unproved)
 
-    def test_a_late_failure_is_not_counted_against_the_start(self):
+    def test_failure_after_success_is_not_counted(self):
         probation = quarantine.Probation()
         probation.note_start('a', 1)
         probation.note_success('a', 1)
         probation.note_failure('a', 1)
         self.assertEqual(0, probation.failures)
 
-    def test_a_task_that_goes_on_running_is_proof(self):
+    def test_task_that_keeps_running_counts_as_success(self):
         now = 0.0
         probation = quarantine.Probation(lambda: now)
         probation.note_start('a', 1)
         probation.note_active('a', 1)
         self.assertEqual(1, probation.unproved)
-        now = quarantine.PROVED_AFTER
+        now = quarantine.PROVED_AFTER_SECONDS
         probation.note_active('a', 1)
         self.assertEqual(0, probation.unproved)
 
-    def test_starts_that_nobody_asks_about_do_not_block_for_ever(self):
-        """An instance takes no more work after an entry is gone.
+    def test_unreported_starts_do_not_block_forever(self):
+        """An instance must accept work again after an entry has failed.
 
-        Its holder started three tasks and died; nobody renews them, so
-        nothing is ever heard of how they began.
+        The holder crashed after starting three tasks; nobody polls
+        them, so no start is ever reported as successful or failed.
         """
         now = 0.0
         probation = quarantine.Probation(lambda: now)
         for number in range(3):
             probation.note_start(f'task-{number}', 1)
         self.assertNotEqual('', probation.find_refusal(canary=False))
-        now = quarantine.UNHEARD_AFTER + 1
+        now = quarantine.UNREPORTED_TIMEOUT_SECONDS + 1
         self.assertEqual('', probation.find_refusal(canary=False))
 
     def test_one_canary_at_a_time_ends_a_quarantine(self):
@@ -105,7 +105,7 @@
 
 
 class TrackerTest(base.TestCase):
-    def test_several_jobs_failing_on_one_instance_blame_it(self):
+    def test_several_jobs_failing_on_one_instance_mark_it_bad(self):
         tracker = make_tracker()
         for number in range(3):
             tracker.note(f'job-{number}', NAMES[4], failed=True)
@@ -114,11 +114,11 @@
         self.assertEqual([NAMES[4]], list(tracker.select(report(), 0)))
         self.assertFalse(tracker.is_to_blame('job-1'))
 
-    def test_a_job_failing_on_several_instances_blames_itself(self):
-        """A typo in one build empties the fleet.
+    def test_job_failing_on_several_instances_is_faulty(self):
+        """A typo in one build must not put the fleet in quarantine.
 
-        A job that can never run fails on instance after instance; each
-        is put in quarantine, and good builds find no place.
+        A job that can never run fails on one instance after another; if
+        each is put in quarantine, no capacity is left for other builds.
         """
         tracker = make_tracker()
         for _ in range(3):
@@ -128,7 +128,7 @@
         self.assertTrue(tracker.is_to_blame('typo'))
         self.assertFalse(tracker.is_to_blame('job-1'))
 
-    def test_failures_are_judged_anew_once_the_job_is_known(self):
+    def test_instance_is_reassessed_once_the_job_is_known_faulty(self):
         tracker = make_tracker()
         for _ in range(3):
             tracker.note('typo', NAMES[0], failed=True)
@@ -137,31 +137,31 @@
             tracker.note('typo', name, failed=True)
         self.assertFalse(tracker.judge(NAMES[0]).is_bad)
 
-    def test_a_long_good_past_does_not_hide_a_break(self):
+    def test_long_healthy_history_does_not_hide_a_fault(self):
         tracker = make_tracker(runs=500)
         for number in range(3):
             tracker.note(f'job-{number}', NAMES[4], failed=True)
         self.assertTrue(tracker.judge(NAMES[4]).is_bad)
 
-    def test_one_failure_is_no_reason(self):
+    def test_one_failure_causes_no_quarantine(self):
         tracker = make_tracker()
         tracker.note('job-0', NAMES[4], failed=True)
         self.assertEqual({}, tracker.select(report(instance_04=1), 0))
 
-    def test_failures_seen_by_other_entries_count(self):
+    def test_failures_observed_by_other_entries_count(self):
         tracker = make_tracker()
-        found = tracker.select(report(instance_04=3), 0)
-        self.assertEqual([NAMES[4]], list(found))
+        selected = tracker.select(report(instance_04=3), 0)
+        self.assertEqual([NAMES[4]], list(selected))
 
-    def test_known_bad_jobs_clear_what_an_instance_reports(self):
+    def test_known_faulty_jobs_explain_reported_failures(self):
         tracker = make_tracker()
         for name in NAMES:
             for _ in range(3):
                 tracker.note('typo', name, failed=True)
         self.assertEqual({}, tracker.select(report(instance_04=3), 0))
 
-    def test_no_more_than_the_capped_share_is_in_quarantine(self):
-        """A bad library on every instance stops all work for good."""
+    def test_quarantined_share_is_limited(self):
+        """A bad library on all instances must not stop all work."""
         tracker = quarantine.Tracker(max_share=0.2)
         reported = dict.fromkeys(NAMES, 3)
         reported[NAMES[7]] = 5
@@ -169,14 +169,14 @@
         self.assertEqual(2, len(chosen))
         self.assertEqual(NAMES[7], next(iter(chosen)))
 
-    def test_a_small_fleet_has_one_in_quarantine_at_most(self):
+    def test_small_fleet_has_at_most_one_in_quarantine(self):
         tracker = quarantine.Tracker(max_share=0.2)
         self.assertEqual(
             1, len(tracker.select({'one': 3, 'two': 4, 'three': 3}, 0))
         )
         self.assertEqual({}, quarantine.Tracker().select({'one': 3}, 0))
 
-    def test_canaries_come_at_growing_distances(self):
+    def test_canaries_are_sent_at_growing_intervals(self):
         tracker = make_tracker()
         reported = report(instance_04=3)
         tracker.select(reported, 0)
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -57,7 +57,7 @@
         self.assertEqual(admission.Size(), accounts.find_usage('a'))
         self.assertEqual(0, accounts.count_running('build'))
 
-    def test_the_ledger_decides_what_is_charged(self):
+    def test_charges_follow_the_phase_in_the_ledger(self):
         accounts = quotas.Accounts()
         task = make_task('a', 'build')
         task.phase = records.TaskPhase.CLAIMED
@@ -69,11 +69,11 @@
 
 
 class PolicyTest(base.TestCase):
-    def test_a_team_never_takes_more_than_its_quota(self):
-        """One team's wave of builds starves all others.
+    def test_team_never_exceeds_its_quota(self):
+        """A burst of builds from one team must not starve the others.
 
         A team submits far more than its quota to an idle fleet; without
-        accounts at the holder each build finds room and starts.
+        accounts at the holder every build would start.
         """
         accounts = quotas.Accounts()
         workload = make_workload('a')
@@ -123,18 +123,18 @@
         for _ in range(63):
             accounts.charge(make_charge(make_task('a', 'build'), SIZE))
         workload = make_workload('a')
-        greedy = policy.decide('a', 'build', workload, SIZE)
-        modest = policy.decide('b', 'build', workload, SIZE)
-        self.assertEqual('fair-share', greedy.reason)
-        self.assertEqual('', modest.reason)
+        above_entitlement = policy.decide('a', 'build', workload, SIZE)
+        below_entitlement = policy.decide('b', 'build', workload, SIZE)
+        self.assertEqual('fair-share', above_entitlement.reason)
+        self.assertEqual('', below_entitlement.reason)
 
 
 class ArrangeTest(base.TestCase):
     def test_150_teams_share_an_over_subscribed_fleet(self):
-        """Late teams wait behind an early team's thousand builds.
+        """Teams must not wait behind an earlier team's thousand builds.
 
         One team queues a thousand builds before 149 others queue ten
-        each; in order of arrival it would take the whole fleet.
+        each; in order of arrival it would occupy the whole fleet.
         """
         accounts = quotas.Accounts()
         names = [f'team-{number:03d}' for number in range(150)]
@@ -146,7 +146,7 @@
         for name in names[1:]:
             queue += [make_task(name, name) for _ in range(10)]
         placed: dict[str, int] = {}
-        for task in quotas.arrange(queue, workloads, policy):
+        for task in quotas.arrange_by_fair_share(queue, workloads, policy):
             decision = policy.decide(
                 task.team, task.workload, workloads[task.workload], SIZE
             )
@@ -170,8 +170,8 @@
         }
         first, second = make_task('a', 'slow'), make_task('a', 'slow')
         urgent = make_task('b', 'fast')
-        gone = make_task('a', 'removed')
-        arranged = quotas.arrange(
-            [first, second, gone, urgent], workloads, policy
+        without_workload = make_task('a', 'removed')
+        arranged = quotas.arrange_by_fair_share(
+            [first, second, without_workload, urgent], workloads, policy
         )
         self.assertEqual([urgent, first, second], list(arranged))
--- a/tests/decisions/test_shedding.py
+++ b/tests/decisions/test_shedding.py
@@ -18,7 +18,7 @@
 
 
 def make_demand(urgent: bool = False, **options) -> shedding.Demand:
-    values = {'seconds': 2.0, 'max_concurrent': 1000, **options}
+    values = {'remaining_seconds': 2.0, 'max_concurrent': 1000, **options}
     return shedding.Demand('check', urgent, **values)
 
 
@@ -33,10 +33,10 @@
 
 class AdaptiveGateTest(base.TestCase):
     def test_urgent_requests_may_use_the_whole_limit(self):
-        """A wave of ordinary uploads keeps a line lead waiting.
+        """A burst of ordinary uploads must not delay urgent checks.
 
         Photo tags fill every slot before the shift's first wire-cut
-        check comes; nothing was kept free for it.
+        check arrives, unless capacity is reserved for it.
         """
         gate = make_gate()
         fill(gate, 256)
@@ -49,7 +49,7 @@
             'overload', gate.decide(make_demand(True), IDLE, 0).reason
         )
 
-    def test_long_queues_shrink_the_limit_to_its_least(self):
+    def test_long_queues_shrink_the_limit_to_its_minimum(self):
         gate = make_gate()
         for number in range(200):
             gate.decide(make_demand(), FULL, number * 1.0)
@@ -74,19 +74,19 @@
             gate.decide(make_demand(), FULL, 1.0)
         self.assertAlmostEqual(224, gate.limit)
 
-    def test_entries_share_the_slots_under_pressure(self):
+    def test_entries_share_the_slots_under_overload(self):
         gate = make_gate()
         capacity = shedding.Capacity(slots=80, queued=160, entries=4)
         for number in range(200):
             gate.decide(make_demand(), capacity, number * 1.0)
         self.assertAlmostEqual(20, gate.limit)
 
-    def test_a_request_that_would_miss_its_deadline_is_refused(self):
+    def test_request_that_would_miss_its_deadline_is_rejected(self):
         gate = make_gate()
         for number in range(20):
             gate.begin('check')
             gate.end('check', number * 0.1, 0.5)
-        decision = gate.decide(make_demand(seconds=1.0), FULL, 3)
+        decision = gate.decide(make_demand(remaining_seconds=1.0), FULL, 3)
         self.assertEqual('deadline', decision.reason)
         self.assertGreater(decision.retry_after, 0)
 
@@ -96,7 +96,7 @@
         decision = gate.decide(make_demand(max_concurrent=3), IDLE, 0)
         self.assertEqual('max-concurrent', decision.reason)
 
-    def test_refused_callers_are_told_different_times(self):
+    def test_rejected_callers_get_different_retry_times(self):
         gate = make_gate()
         fill(gate, 400)
         waits = [
@@ -105,9 +105,11 @@
         ]
         self.assertGreater(max(waits) - min(waits), 1.0)
 
-    def test_no_known_server_is_left_to_the_routing(self):
-        none = shedding.Capacity(slots=0, queued=0)
-        self.assertEqual('', make_gate().decide(make_demand(), none, 0).reason)
+    def test_requests_are_admitted_without_known_servers(self):
+        no_servers = shedding.Capacity(slots=0, queued=0)
+        self.assertEqual(
+            '', make_gate().decide(make_demand(), no_servers, 0).reason
+        )
 
 
 @dataclasses.dataclass
@@ -146,7 +148,7 @@
             )
         )
 
-    def test_only_served_requests_teach_a_run_time(self):
+    def test_run_times_are_learned_from_served_requests_only(self):
         request = Request(make_limits())
         with self.shedder.admit(request):
             self.now += 0.2
@@ -154,33 +156,33 @@
             with self.shedder.admit(request):
                 self.now += 9.0
                 raise ValueError('refused')
-        learnt = self.shedder.learner.estimate_seconds('check', 100, 0)
-        self.assertAlmostEqual(0.2, learnt, delta=0.02)
+        learned = self.shedder.learner.estimate_seconds('check', 100, 0)
+        self.assertAlmostEqual(0.2, learned, delta=0.02)
         gate = self.shedder.find_gate('planning')
         self.assertEqual(0, gate.outstanding)
 
-    def refuse(self, request: Request) -> problems.Problem:
+    def reject(self, request: Request) -> problems.Problem:
         with contextlib.ExitStack() as admitted:
             for _ in range(40):
                 try:
                     admitted.enter_context(self.shedder.admit(request))
                 except problems.Problem as problem:
                     return problem
-        self.fail('nothing was refused')
+        self.fail('nothing was rejected')
 
-    def test_a_refusal_is_final_and_says_when_to_come_back(self):
-        problem = self.refuse(Request(make_limits()))
+    def test_rejection_is_final_and_has_a_retry_time(self):
+        problem = self.reject(Request(make_limits()))
         self.assertEqual(503, problem.status)
         self.assertEqual('not-run', problem.work)
         self.assertGreater(problem.retry_after, 0)
 
     def test_a_shed_retry_of_a_key_does_not_claim_that_nothing_ran(self):
-        """A build check is told "not run" although its answer exists.
+        """A check must not get "not run" although it has run before.
 
-        The first request with the key ran and its answer was lost; the
-        retry reaches another entry, which sheds it unseen.
+        The first request with the key ran and its response was lost;
+        the retry reaches another entry, which sheds it unprocessed.
         """
-        problem = self.refuse(Request(make_limits(), key='board-9'))
+        problem = self.reject(Request(make_limits(), key='board-9'))
         self.assertEqual('unknown', problem.work)
         self.assertEqual(503, problem.status)
 
@@ -189,7 +191,7 @@
         self.shedder.list_entries = lambda: ['entry-1', 'entry-2']
         request = Request(make_limits(**{'max-concurrent': 3}))
         with self.shedder.admit(request):
-            problem = self.refuse(request)
+            problem = self.reject(request)
         self.assertEqual(429, problem.status)
         self.assertEqual('max-concurrent', problem.detail)
 
--- a/tests/decisions/test_usage.py
+++ b/tests/decisions/test_usage.py
@@ -33,20 +33,20 @@
         timeline = usage.Timeline(CORES)
         timeline.note_start('1', 'build', 16.0, at=0.0)
         timeline.note_speed('1', 0.5, at=1.0)
-        timeline.note_use('1', 4.0)
+        timeline.note_usage('1', 4.0)
         self.assertEqual([('1', 'build', 0.125, 0.5)], timeline.list_tasks())
 
-    def test_history_is_bounded(self):
-        timeline = usage.Timeline(CORES, horizon=10.0)
+    def test_history_is_limited(self):
+        timeline = usage.Timeline(CORES, history_seconds=10.0)
         for number in range(100):
             timeline.note_start(str(number), 'build', 1.0, at=number)
             timeline.note_stop(str(number), at=number + 0.5)
         self.assertEqual({}, timeline.find_past_shares(0.0, 80.0, {}))
 
-    def test_windows_keep_the_history_up_to_date(self):
+    def test_reported_windows_update_the_history(self):
         timeline = usage.Timeline(CORES)
-        seen = usage.TaskUse('1', 'build', 8.0, 0.5, True)
-        timeline.sync(usage.Window(1, 0.0, 1.0, (seen,)))
+        task_use = usage.TaskUse('1', 'build', 8.0, 0.5, True)
+        timeline.sync(usage.Window(1, 0.0, 1.0, (task_use,)))
         self.assertEqual([('1', 'build', 0.25, 0.5)], timeline.list_tasks())
         timeline.sync(usage.Window(2, 1.0, 2.0, ()))
         self.assertEqual([], timeline.list_tasks())
@@ -82,13 +82,12 @@
         self.timeline = usage.Timeline(CORES)
         self.joiner = usage.Joiner(self.timeline, slots=8)
 
-    def test_late_report_blames_who_ran_when_it_was_measured(self):
-        """A slow window must not be blamed on who came after it.
+    def test_late_report_is_attributed_to_tasks_of_its_window(self):
+        """A slow window must not be attributed to tasks started later.
 
-        A user would see harmless tasks kept off, and the noisy ones
-        placed beside their requests again. The noisy task ran while the
-        window was measured, ended, and the harmless one had started by
-        the time the report came.
+        The noisy task ran during the window and ended; the harmless one
+        had started by the time the report arrived. Misattribution would
+        keep harmless tasks away and colocate noisy ones with requests.
         """
         self.timeline.note_start('1', 'noisy', 16.0, at=0.0)
         self.timeline.note_stop('1', at=10.0)
