--- a/src/persimmonsail/decisions/quarantine.py
+++ b/src/persimmonsail/decisions/quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of instances on which tasks fail at start.
+"""Quarantine of instances on which tasks keep failing.
 
 Two mechanisms work together. A sidecar's ``Probation`` limits how many
 tasks can fail on an instance before its health has been assessed. An
--- a/tests/decisions/test_shedding.py
+++ b/tests/decisions/test_shedding.py
@@ -155,7 +155,7 @@
         with testtools.ExpectedException(ValueError):
             with self.shedder.admit(request):
                 self.now += 9.0
-                raise ValueError('refused')
+                raise ValueError('rejected')
         learned = self.shedder.learner.estimate_seconds('check', 100, 0)
         self.assertAlmostEqual(0.2, learned, delta=0.02)
         gate = self.shedder.find_gate('planning')
