--- a/src/persimmonsail/decisions/admission.py
+++ b/src/persimmonsail/decisions/admission.py
@@ -51,7 +51,7 @@
 URGENT_HEADROOM = 0.05
 
 
-def leave_headroom(capacity: Size) -> Size:
+def subtract_headroom(capacity: Size) -> Size:
     """Return the part of a capacity that tasks may use."""
     return _reduce(capacity, TASK_HEADROOM)
 
--- a/src/persimmonsail/decisions/backlog.py
+++ b/src/persimmonsail/decisions/backlog.py
@@ -36,7 +36,7 @@
         ahead = queued + max(busy - self._slots + 1, 0)
         return ahead * self.service_seconds / self._slots
 
-    def suggest_return(self, busy: int, queued: int) -> float:
+    def suggest_retry_delay(self, busy: int, queued: int) -> float:
         """Return the delay in seconds before a retry, with jitter.
 
         Without jitter, callers that are refused in one burst retry in
--- a/src/persimmonsail/decisions/intake.py
+++ b/src/persimmonsail/decisions/intake.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         fleet: fleet_module.Fleet,
-        learned: planner_module.Knowledge,
+        learned: planner_module.LearnedState,
         generator: random.Random,
     ) -> None:
         self._fleet = fleet
@@ -89,7 +89,7 @@
             return
         workload = catalogue.workloads[name]
         if self._learned.is_settled(self._fleet, now):
-            reason = planner_module.find_impossible(
+            reason = planner_module.find_infeasibility(
                 workload, catalogue, self._fleet.list_all()
             )
             if reason:
--- a/src/persimmonsail/decisions/ladder.py
+++ b/src/persimmonsail/decisions/ladder.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Situation:
+class InstanceSnapshot:
     """The observed state of one instance.
 
     ``demand`` is the part of the slots that each latency-critical class
@@ -168,7 +168,7 @@
 
     def decide(
         self,
-        situation: Situation,
+        situation: InstanceSnapshot,
         find_relief: t.Callable[[RunningTask], float],
     ) -> Action | None:
         """Return the next action for an instance, if one is due.
@@ -206,7 +206,7 @@
         return action
 
     def _find_worst(
-        self, situation: Situation, tasks: t.Iterable[RunningTask]
+        self, situation: InstanceSnapshot, tasks: t.Iterable[RunningTask]
     ) -> interference.Estimate:
         shares: dict[str, float] = {}
         for task in tasks:
@@ -224,7 +224,7 @@
 
     def _throttle_or_evict(
         self,
-        situation: Situation,
+        situation: InstanceSnapshot,
         worst: interference.Estimate,
         weights: objectives.Weights,
         find_relief: t.Callable[[RunningTask], float],
@@ -242,10 +242,10 @@
         ]
         aggressors.sort(key=find_excess, reverse=True)
         for task in aggressors:
-            if task.speed > weights.slowest_speed:
+            if task.speed > weights.min_speed:
                 target = (weights.throttle_above + weights.release_below) / 2
                 required = task.speed - (delay - target) / find_excess(task)
-                speed = max(weights.slowest_speed, required)
+                speed = max(weights.min_speed, required)
                 return _make_action(
                     Kind.THROTTLE, situation, task, speed, worst
                 )
@@ -258,7 +258,9 @@
                 return _make_action(Kind.EVICT, situation, task, 0.0, worst)
         return None
 
-    def _release(self, situation: Situation, state: _State) -> Action | None:
+    def _release(
+        self, situation: InstanceSnapshot, state: _State
+    ) -> Action | None:
         throttled = [task for task in situation.tasks if task.speed < 1.0]
         for task in sorted(throttled, key=lambda task: task.speed):
             after = [
@@ -282,7 +284,7 @@
 
 def _make_action(
     kind: Kind,
-    situation: Situation,
+    situation: InstanceSnapshot,
     task: RunningTask,
     speed: float,
     worst: interference.Estimate,
--- a/src/persimmonsail/decisions/objectives.py
+++ b/src/persimmonsail/decisions/objectives.py
@@ -15,7 +15,7 @@
     throttled or evicted when the predicted slowdown of a class is above
     ``throttle_above`` or ``evict_above``, and released below
     ``release_below``; the gap between them is the hysteresis.
-    ``slowest_speed`` is the lowest speed of a throttled task. Batch work
+    ``min_speed`` is the lowest speed of a throttled task. Batch work
     is held for at most ``hold_seconds`` rather than placed at a cost
     above ``hold_above``.
     """
@@ -24,7 +24,7 @@
     throttle_above: float
     release_below: float
     evict_above: float
-    slowest_speed: float
+    min_speed: float
     hold_above: float
     hold_seconds: float
 
@@ -35,7 +35,7 @@
         throttle_above=1.7,
         release_below=1.4,
         evict_above=2.2,
-        slowest_speed=0.5,
+        min_speed=0.5,
         hold_above=0.25,
         hold_seconds=20.0,
     ),
@@ -44,7 +44,7 @@
         throttle_above=4.0,
         release_below=3.0,
         evict_above=6.0,
-        slowest_speed=0.8,
+        min_speed=0.8,
         hold_above=2.0,
         hold_seconds=5.0,
     ),
--- a/src/persimmonsail/decisions/placement.py
+++ b/src/persimmonsail/decisions/placement.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class Requirement:
     """The requirements of a task on the instance it is placed on."""
 
     workload: str
@@ -83,7 +83,7 @@
         instance
         for instance in candidates
         if (instance.committed + size).fits(
-            admission.leave_headroom(instance.capacity)
+            admission.subtract_headroom(instance.capacity)
         )
     ]
 
@@ -123,7 +123,7 @@
         self._held_since: dict[str, float] = {}
 
     def choose(
-        self, candidates: t.Sequence[fleet.Instance], need: Need
+        self, candidates: t.Sequence[fleet.Instance], need: Requirement
     ) -> Choice:
         """Return the cheapest instance, or a reason to wait."""
         fitting = [
@@ -160,7 +160,9 @@
         """
         now = self._clock()
         waited = now - self._held_since.get(task.workload, now)
-        choice = self.choose(candidates, Need(task.workload, size, waited))
+        choice = self.choose(
+            candidates, Requirement(task.workload, size, waited)
+        )
         chosen = choice.instance
         if choice.is_costly and task.workload not in self._held_since:
             _log_choice('placement-held', task, choice)
@@ -200,7 +202,7 @@
     def _find_cost(
         self,
         instance: fleet.Instance,
-        need: Need,
+        need: Requirement,
         racks: t.Mapping[str, float],
         zones: t.Mapping[str, float],
     ) -> Cost:
--- a/src/persimmonsail/decisions/planner.py
+++ b/src/persimmonsail/decisions/planner.py
@@ -19,7 +19,7 @@
 
 # Seconds after its first announcement before an entry calls a task too
 # large for every instance: other instances may not have reported yet.
-SETTLING = 10.0
+SETTLING_SECONDS = 10.0
 MAX_TASKS_PER_ROUND = 512
 
 Chooser = t.Callable[
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass
-class Knowledge:
+class LearnedState:
     """State learned jointly by all partitions that one entry holds.
 
     ``started_at`` has the start of each task's attempt in monotonic
@@ -113,11 +113,12 @@
             self.first_report_at = now
         first_report_at = self.first_report_at
         return (
-            first_report_at is not None and now - first_report_at >= SETTLING
+            first_report_at is not None
+            and now - first_report_at >= SETTLING_SECONDS
         )
 
 
-def find_impossible(
+def find_infeasibility(
     workload: catalogue_module.Workload,
     catalogue: catalogue_module.Catalogue,
     instances: t.Iterable[fleet_module.Instance],
@@ -131,7 +132,7 @@
     quota = quotas.read_quota(catalogue.teams[workload.owner])
     if not size.fits(quota):
         return f'larger than the quota of {workload.owner}'
-    limits = [admission.leave_headroom(i.capacity) for i in instances]
+    limits = [admission.subtract_headroom(i.capacity) for i in instances]
     if not any(size.fits(limit) for limit in limits):
         return 'fits no known instance'
     return ''
@@ -151,7 +152,7 @@
     ----------
     fleet : persimmonsail.decisions.fleet.Fleet
         The entry's view of instances.
-    knowledge : Knowledge
+    learned_state : Knowledge
         The state shared by all partitions that the entry holds.
     choose : callable
         The placement policy.
@@ -162,14 +163,14 @@
     def __init__(
         self,
         fleet: fleet_module.Fleet,
-        knowledge: Knowledge,
+        learned_state: LearnedState,
         choose: Chooser,
         order: str = 'fair-share',
     ) -> None:
         self.accounts = quotas.Accounts()
-        self.waiting: dict[str, str] = {}
+        self.wait_reasons: dict[str, str] = {}
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._learned_state = learned_state
         self._choose = choose
         self._sort_tasks = quotas.ORDERS[order]
 
@@ -182,11 +183,11 @@
         """Yield the steps of one round.
 
         Each placement is charged and committed in the entry's view
-        before the next step is chosen. Afterwards, ``waiting`` has the
+        before the next step is chosen. Afterwards, ``wait_reasons`` has the
         reason why each considered task still waits.
         """
-        self.waiting = {}
-        self._knowledge.is_settled(self._fleet, now)
+        self.wait_reasons = {}
+        self._learned_state.is_settled(self._fleet, now)
         if pending:
             yield from _PlanningRound(self, catalogue, now).run(pending)
 
@@ -211,9 +212,9 @@
         self._planner = planner
         self._catalogue = catalogue
         self._now = now
-        self._knowledge = planner._knowledge
+        self._learned_state = planner._learned_state
         self._live = planner._fleet.list_live()
-        limits = [admission.leave_headroom(i.capacity) for i in self._live]
+        limits = [admission.subtract_headroom(i.capacity) for i in self._live]
         self._limits = limits
         self._policy = quotas.Policy(
             planner.accounts,
@@ -221,7 +222,7 @@
             sum(limits, admission.Size()),
             sum((i.committed for i in self._live), admission.Size()),
         )
-        self._quarantined = self._knowledge.tracker.select(
+        self._quarantined = self._learned_state.tracker.select(
             {i.name: i.failures for i in self._live}, now
         )
         self._unplaceable_sizes: list[admission.Size] = []
@@ -241,10 +242,10 @@
 
     def _plan_task(self, task: tasks_module.Task) -> Step | None:
         if task.workload in self._blocked:
-            self._planner.waiting[task.id] = self._blocked[task.workload]
+            self._planner.wait_reasons[task.id] = self._blocked[task.workload]
             return None
         workload = self._catalogue.workloads[task.workload]
-        if reason := self._find_impossible(workload):
+        if reason := self._find_infeasibility(workload):
             return Refusal(task, reason)
         estimate = self._estimate(task.workload, workload)
         decision = self._policy.decide(
@@ -258,20 +259,20 @@
         return self._place(task, chosen, estimate, decision)
 
     def _block(self, task: tasks_module.Task, reason: str) -> None:
-        self._planner.waiting[task.id] = reason
+        self._planner.wait_reasons[task.id] = reason
         self._blocked[task.workload] = reason
 
-    def _find_impossible(self, workload: catalogue_module.Workload) -> str:
+    def _find_infeasibility(self, workload: catalogue_module.Workload) -> str:
         fleet = self._planner._fleet
-        if not self._knowledge.is_settled(fleet, self._now):
+        if not self._learned_state.is_settled(fleet, self._now):
             return ''
-        return find_impossible(workload, self._catalogue, fleet.list_all())
+        return find_infeasibility(workload, self._catalogue, fleet.list_all())
 
     def _estimate(
         self, name: str, workload: catalogue_module.Workload
     ) -> learning.Estimate:
         declared = read_declared(workload)
-        learner = self._knowledge.learner
+        learner = self._learned_state.learner
         max_size = max(
             (limit for limit in self._limits if declared.fits(limit)),
             key=lambda limit: limit.cores,
@@ -298,7 +299,7 @@
         # A task that failed on an instance is likely to fail there again;
         # its outcome elsewhere shows whether the task or the instance is
         # at fault.
-        avoided = self._knowledge.failed_on.get(task.id, ())
+        avoided = self._learned_state.failed_on.get(task.id, ())
         candidates = [
             i for i in candidates if i.name not in avoided
         ] or candidates
@@ -327,13 +328,13 @@
         workload: catalogue_module.Workload,
     ) -> bool:
         if instance.name in self._quarantined:
-            tracker = self._knowledge.tracker
+            tracker = self._learned_state.tracker
             return (
                 not instance.unproved
                 and is_restartable(workload)
                 and tracker.may_test(instance.name, self._now)
             )
-        limit = self._knowledge.tracker.most_risked
+        limit = self._learned_state.tracker.max_failures
         if instance.failures >= limit:
             return not instance.unproved
         return instance.failures + instance.unproved < limit
@@ -345,7 +346,7 @@
         estimate: learning.Estimate,
         decision: quotas.Decision,
     ) -> Placement:
-        tracker = self._knowledge.tracker
+        tracker = self._learned_state.tracker
         quarantined = chosen.name in self._quarantined
         if quarantined:
             tracker.note_canary(chosen.name, self._now)
@@ -360,7 +361,7 @@
             estimate,
             decision,
             canary=quarantined or chosen.failures >= quarantine.MAX_FAILURES,
-            suspect=tracker.is_to_blame(task.workload),
+            suspect=tracker.is_job_faulty(task.workload),
         )
 
 
--- a/src/persimmonsail/decisions/quarantine.py
+++ b/src/persimmonsail/decisions/quarantine.py
@@ -26,8 +26,8 @@
 UNREPORTED_TIMEOUT_SECONDS = 30.0
 # Delay before a canary may test an instance in quarantine (seconds);
 # doubled with each canary sent.
-CANARY_DELAY = 30.0
-MAX_CANARY_DELAY = 600.0
+CANARY_DELAY_SECONDS = 30.0
+MAX_CANARY_DELAY_SECONDS = 600.0
 
 # Prior odds that an instance is bad: about one in a hundred is.
 _PRIOR_LOG_ODDS = math.log(0.01 / 0.99)
@@ -180,7 +180,7 @@
 class _Quarantine:
     since: float
     tested_at: float
-    delay: float = CANARY_DELAY
+    delay: float = CANARY_DELAY_SECONDS
 
 
 POLICIES: dict[str, type['Tracker']] = {}
@@ -207,11 +207,11 @@
 
     Attributes
     ----------
-    most_risked : int
+    max_failures : int
         Limit on failed and unproved starts on one instance.
     """
 
-    most_risked = MAX_FAILURES
+    max_failures = MAX_FAILURES
 
     def __init__(self, max_share: float = MAX_SHARE) -> None:
         self._max_share = max_share
@@ -269,7 +269,7 @@
         )
         return min(max(rate, _MIN_FAILURE_RATE), 1 - _MIN_FAILURE_RATE)
 
-    def is_to_blame(self, job: str) -> bool:
+    def is_job_faulty(self, job: str) -> bool:
         """Whether a job failed on several healthy instances."""
         failed = self._jobs.get(job, _JobHistory()).failures
         good = [name for name in failed if not self.judge(name).is_bad]
@@ -315,7 +315,7 @@
         minimum = 1 if live > 1 else 0
         return max(math.floor(live * self._max_share), minimum)
 
-    def count_held(self) -> int:
+    def count_quarantined(self) -> int:
         """Return how many instances are in quarantine."""
         return len(self._quarantined)
 
@@ -333,7 +333,7 @@
             instance, _Quarantine(now, now)
         )
         quarantine.tested_at = now
-        quarantine.delay = min(quarantine.delay * 2, MAX_CANARY_DELAY)
+        quarantine.delay = min(quarantine.delay * 2, MAX_CANARY_DELAY_SECONDS)
 
     def _is_suspect(self, verdict: Verdict, failures: int) -> bool:
         if verdict.is_bad:
@@ -361,7 +361,7 @@
 class NullTracker(Tracker):
     """Never puts an instance in quarantine; the baseline."""
 
-    most_risked = 1 << 30
+    max_failures = 1 << 30
 
     def select(
         self, reported: t.Mapping[str, int], now: float
@@ -369,6 +369,6 @@
         """Return no instance, whatever was reported."""
         return {}
 
-    def is_to_blame(self, job: str) -> bool:
+    def is_job_faulty(self, job: str) -> bool:
         """Return false for every job."""
         return False
--- a/src/persimmonsail/decisions/retries.py
+++ b/src/persimmonsail/decisions/retries.py
@@ -35,7 +35,7 @@
         """Account for a successful request."""
 
     @abc.abstractmethod
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Consume one attempt; return false if none is available."""
 
 
@@ -47,7 +47,7 @@
     ----------
     per_success : float, optional
         Attempts added by each success.
-    trickle : float, optional
+    per_second : float, optional
         Attempts added per second, so that an idle entry can retry.
     clock : callable, optional
         Returns monotonic seconds.
@@ -56,11 +56,11 @@
     def __init__(
         self,
         per_success: float = _TOKENS_PER_SUCCESS,
-        trickle: float = _TOKENS_PER_SECOND,
+        per_second: float = _TOKENS_PER_SECOND,
         clock: t.Callable[[], float] = time.monotonic,
     ) -> None:
         self._per_success = per_success
-        self._per_second = trickle
+        self._per_second = per_second
         self._clock = clock
         self._tokens = _MAX_TOKENS / 2
         self._refilled_at = clock()
@@ -69,7 +69,7 @@
         """See ``Budget.note_success``."""
         self._add(self._per_success)
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """See ``Budget.spend``."""
         now = self._clock()
         self._add((now - self._refilled_at) * self._per_second)
@@ -90,6 +90,6 @@
     def note_success(self) -> None:
         """See ``Budget.note_success``."""
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """See ``Budget.spend``."""
         return False
--- a/src/persimmonsail/decisions/routing.py
+++ b/src/persimmonsail/decisions/routing.py
@@ -10,7 +10,7 @@
 SAMPLE_SIZE = 5
 DEFAULT_SERVICE_SECONDS = 0.1
 # Round trip to another availability zone, as on the larger site.
-DISTANCE_SECONDS = 0.0028
+CROSS_ZONE_RTT_SECONDS = 0.0028
 
 _SAMPLED_POLICY_SIZE = 2
 _LOAD_HALF_LIFE_SECONDS = 1.0
--- a/src/persimmonsail/decisions/usage.py
+++ b/src/persimmonsail/decisions/usage.py
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class TaskUse:
+class TaskUsage:
     """A worker's measurement of one task in one window."""
 
     task: str
@@ -91,7 +91,7 @@
     sequence: int
     begin: float
     end: float
-    tasks: tuple[TaskUse, ...]
+    tasks: tuple[TaskUsage, ...]
 
 
 @dataclasses.dataclass
--- a/src/persimmonsail/jobs/advice.py
+++ b/src/persimmonsail/jobs/advice.py
@@ -52,7 +52,7 @@
         """Drop the questions of an earlier round."""
         self._questions.clear()
 
-    def find_tickets(self, step: str, now: float) -> dict[str, str]:
+    def find_permits(self, step: str, now: float) -> dict[str, str]:
         """Return the usable permits of a step, by boot."""
         permits = self._permits.get(step, {})
         return {
@@ -61,7 +61,7 @@
             if permit.expires_at > now + _MIN_VALIDITY_SECONDS
         }
 
-    def want(
+    def request(
         self,
         task: job_module.Task,
         fleet: t.Iterable[instances.Instance],
@@ -72,7 +72,7 @@
         step = task.step_name
         answered = self._answered.get(step, set())
         denied = answered - self._permits.get(step, {}).keys()
-        known = denied | self.find_tickets(step, now).keys()
+        known = denied | self.find_permits(step, now).keys()
         candidates = [
             instance
             for instance in placement.list_fitting(task, fleet, service, now)
@@ -105,10 +105,10 @@
         answered.update(question.boots)
         permits = self._permits.setdefault(question.step, {})
         expires_at = now + answer.valid_seconds
-        for boot, text in answer.tickets.items():
+        for boot, text in answer.permits.items():
             permits[boot] = _Permit(text, expires_at)
 
-    def drop_ticket(self, step: str, boot: str) -> None:
+    def drop_permit(self, step: str, boot: str) -> None:
         """Discard a permit that an instance has refused."""
         if self._permits.get(step, {}).pop(boot, None) is not None:
             self._answered[step].discard(boot)
@@ -122,7 +122,7 @@
                 del rows_by_step[step]
 
 
-async def keep_asking(
+async def run_question_loop(
     advisor: advisor_module.Advisor,
     approvals: Approvals,
     on_answer: t.Callable[[], None],
@@ -147,7 +147,7 @@
             'advice',
             step=question.step,
             asked=len(question.boots),
-            approved=len(answer.tickets),
+            approved=len(answer.permits),
             valid_seconds=answer.valid_seconds,
             seconds=now - asked_at,
         )
--- a/src/persimmonsail/jobs/advisor.py
+++ b/src/persimmonsail/jobs/advisor.py
@@ -11,14 +11,14 @@
 
     Attributes
     ----------
-    tickets : mapping of str to str
+    permits : mapping of str to str
         The permit that a start has to carry, by the boot of each instance that
         may run the step.
     valid_seconds : float
         How long these permits are accepted.
     """
 
-    tickets: t.Mapping[str, str]
+    permits: t.Mapping[str, str]
     valid_seconds: float
 
 
--- a/src/persimmonsail/jobs/agent.py
+++ b/src/persimmonsail/jobs/agent.py
@@ -23,9 +23,9 @@
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import fleet_grpc
 from persimmonsail.jobs import fleet_pb2
+from persimmonsail.jobs import incarnation as incarnation_module
+from persimmonsail.jobs import incarnationreport
 from persimmonsail.jobs import leases
-from persimmonsail.jobs import life as incarnation_module
-from persimmonsail.jobs import lifereport
 from persimmonsail.jobs import orders as orders_module
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import worker as worker_module
@@ -78,7 +78,7 @@
         self._executor = orders_module.Executor(
             worker,
             self._authority,
-            on_boot_ended=self.note_boot_over,
+            on_boot_ended=self.note_boot_ended,
             on_barred=self._report_barred,
             on_change=self._request_report,
             on_renewal_due=self._request_renewal,
@@ -93,7 +93,7 @@
         self._report_due = anyio.Event()
         self._renewal_requested = anyio.Event()
         self._group: anyio.abc.TaskGroup
-        self.attached_at = clock.read()
+        self.last_orders_at = clock.read()
 
     def note_heartbeat(self, heartbeat: worker_module.Heartbeat) -> None:
         """Process a heartbeat of the worker's agent."""
@@ -135,7 +135,7 @@
         )
         self._renewal_requested.set()
 
-    def note_boot_over(self, boot: str, asked: bool = False) -> None:
+    def note_boot_ended(self, boot: str, announced: bool = False) -> None:
         """Record that a boot of the worker's agent has ended.
 
         Parameters
@@ -143,7 +143,7 @@
         boot : str
             The boot that ended; the current state changes only if it is
             the latest one.
-        asked : bool
+        announced : bool
             Whether the agent announced it, as it does on shutdown.
         """
         if not boot or boot in self._ended_boots:
@@ -152,7 +152,7 @@
         if self._incarnation is not None and self._incarnation.boot == boot:
             logs.write_event('worker-gone', boot=boot)
             self._incarnation.terminated = True
-            if not asked and not self._incarnation.heartbeat.leaving:
+            if not announced and not self._incarnation.heartbeat.leaving:
                 self._record_crash(
                     self._incarnation.describe_crash(clock.read())
                 )
@@ -243,12 +243,12 @@
         link.barred.clear()
         report.over.extend(self._ended_boots[-_MAX_ENDED_BOOTS:])
         for crash in link.crashes:
-            lifereport.fill_crash(report.crashes.add(), crash, now)
+            incarnationreport.fill_crash(report.crashes.add(), crash, now)
         link.crashes.clear()
         incarnation = self._incarnation
         if incarnation is None:
             return report
-        lifereport.fill_report(report, incarnation, now)
+        incarnationreport.fill_report(report, incarnation, now)
         report.fenced = incarnation.fenced_epoch >= self._authority.epoch
         return report
 
@@ -259,7 +259,7 @@
         self._renewal_requested.set()
 
     def _apply_orders(self, link: _Link, orders: fleet_pb2.Orders) -> None:
-        self.attached_at = clock.read()
+        self.last_orders_at = clock.read()
         link.last_sequence = orders.sequence
         if orders.ticket:
             until = orders.ticket + self._lease_seconds
@@ -276,8 +276,8 @@
             incarnation.acknowledged = orders.acknowledged
             self._renewal_requested.set()
         for start in (*orders.known, *orders.starts):
-            incarnation.sizes[start.task, start.run] = lifereport.read_size(
-                start.size
+            incarnation.sizes[start.task, start.run] = (
+                incarnationreport.read_size(start.size)
             )
         stop_keys = [(stop.task, stop.run) for stop in orders.stops]
         incarnation.stopping.update(stop_keys)
@@ -289,7 +289,9 @@
             )
             self._group.start_soon(self._executor.stop, incarnation, key)
         for pace in orders.paces:
-            self._group.start_soon(self._executor.set_pace, incarnation, pace)
+            self._group.start_soon(
+                self._executor.set_speed_limit, incarnation, pace
+            )
 
     def _admit(
         self,
@@ -372,7 +374,7 @@
         try:
             await self._executor.poll(incarnation, extend, wait)
         except exceptions.WorkerBootChanged:
-            self.note_boot_over(incarnation.boot)
+            self.note_boot_ended(incarnation.boot)
         except (
             exceptions.OrderRefused,
             exceptions.WorkerUnavailable,
--- a/src/persimmonsail/jobs/board.py
+++ b/src/persimmonsail/jobs/board.py
@@ -36,10 +36,10 @@
     ----------
     changed : set of str
         Jobs whose progress must be committed.
-    broken : list of persimmonsail.jobs.job.Task
+    broken_gang_tasks : list of persimmonsail.jobs.job.Task
         Gang tasks whose run ended without success; the other placed
         members of the gang can't finish and must be stopped.
-    recalled : list of persimmonsail.jobs.job.Task
+    superseded_tasks : list of persimmonsail.jobs.job.Task
         Tasks completed by an earlier run; their last run is still placed
         and must be stopped.
     """
@@ -47,12 +47,12 @@
     def __init__(self) -> None:
         self.jobs: dict[str, job_module.Job] = {}
         self.changed: set[str] = set()
-        self.broken: list[job_module.Task] = []
-        self.recalled: list[job_module.Task] = []
+        self.broken_gang_tasks: list[job_module.Task] = []
+        self.superseded_tasks: list[job_module.Task] = []
         # Jobs with uncommitted checkpoints.
         self._uncommitted: set[str] = set()
         # Tasks suspected of crashing agents, by name.
-        self.suspects: dict[str, job_module.Task] = {}
+        self.crash_suspects: dict[str, job_module.Task] = {}
         # When each cancel was received, in milliseconds since the epoch. It
         # may arrive before its job, or without one.
         self._cancelled: dict[str, int] = {}
@@ -64,12 +64,12 @@
         self.jobs[job.id] = job
         for task in job.tasks.values():
             if task.is_suspect:
-                self.note_crashes(task, task.state.crashes)
+                self.update_crashes(task, task.state.crashes)
         if job.id in self._cancelled:
             self.cancel(job.id)
         return True
 
-    def find(self, name: str) -> job_module.Task | None:
+    def find_task(self, name: str) -> job_module.Task | None:
         """Return a task by its full name."""
         job_and_key = record.parse_task_name(name)
         if job_and_key is None:
@@ -144,7 +144,7 @@
         instance: str,
         boot: str,
         number: int | None = None,
-        apart: bool = False,
+        isolated: bool = False,
     ) -> int:
         """Claim an instance for a task's next run; return the run's number.
 
@@ -157,7 +157,7 @@
         number : int, optional
             The run's number, higher than any before; the next one if
             omitted.
-        apart : bool, optional
+        isolated : bool, optional
             Whether it is isolated from other suspects.
         """
         state = task.state
@@ -165,7 +165,7 @@
         state.run = number or state.run + 1
         state.instance = instance
         state.boot = boot
-        state.crashes = state.crashes._replace(apart=apart)
+        state.crashes = state.crashes._replace(apart=isolated)
         task.job.note_placed(task)
         task.job.progress.phase = record.JobPhase.ACTIVE
         self.changed.add(task.job.id)
@@ -210,7 +210,7 @@
         task.job.placed_count -= 1
         task.job.note_waiting(task)
         if task.step.gang:
-            self.broken.append(task)
+            self.broken_gang_tasks.append(task)
         if end is End.FAILED:
             state.failures += 1
             task.avoid.add(state.instance)
@@ -220,7 +220,7 @@
                 self._fail(task.job, reason)
         return True
 
-    def note_crashes(
+    def update_crashes(
         self, task: job_module.Task, crashes: record.Crashes
     ) -> None:
         """Update the crash evidence against a task."""
@@ -228,15 +228,15 @@
             task.state.crashes = crashes
             self.changed.add(task.job.id)
         if task.is_suspect and not task.job.phase.is_final:
-            self.suspects[task.name] = task
+            self.crash_suspects[task.name] = task
         else:
-            self.suspects.pop(task.name, None)
+            self.crash_suspects.pop(task.name, None)
 
-    def give_up(self, task: job_module.Task, reason: str) -> None:
+    def fail_job(self, task: job_module.Task, reason: str) -> None:
         """Fail the job of a task that can't be completed."""
         self._fail(task.job, reason)
 
-    def note_late_done(self, task: job_module.Task, run: int) -> bool:
+    def accept_late_completion(self, task: job_module.Task, run: int) -> bool:
         """Accept the late completion of a run that was abandoned.
 
         A sidecar that was unreachable for longer than a lease may report
@@ -273,7 +273,7 @@
         placed = [member for member in members if member.is_placed]
         for member in placed:
             member.state.earlier_done = True
-        self.recalled += placed
+        self.superseded_tasks += placed
         self._mark_done([other for other in members if not other.is_placed])
         return True
 
@@ -285,7 +285,7 @@
                 continue
             job.placed_count -= task.is_placed
             job.waiting.pop(task.key, None)
-            self.suspects.pop(task.name, None)
+            self.crash_suspects.pop(task.name, None)
             task.state.phase = record.TaskPhase.DONE
             job.note_done(task)
             if job.is_done and not job.phase.is_final:
@@ -307,9 +307,9 @@
         job.progress.phase = phase
         job.waiting.clear()
         for name in [
-            n for n, task in self.suspects.items() if task.job is job
+            n for n, task in self.crash_suspects.items() if task.job is job
         ]:
-            del self.suspects[name]
+            del self.crash_suspects[name]
         job.progress.ended_ms = _wall_ms()
         self.changed.add(job.id)
 
--- a/src/persimmonsail/jobs/capacities.py
+++ b/src/persimmonsail/jobs/capacities.py
@@ -131,7 +131,7 @@
         )
 
 
-async def keep_reading(
+async def run_read_loop(
     store: store_module.TransactionalStore,
     capacities: Capacities,
     period_seconds: float = _READ_PERIOD_SECONDS,
@@ -142,7 +142,7 @@
         await anyio.sleep(period_seconds)
 
 
-async def keep_saving(
+async def run_save_loop(
     store: store_module.TransactionalStore,
     fleet: t.Mapping[str, instances.Instance],
     period_seconds: float = _SAVE_PERIOD_SECONDS,
--- a/src/persimmonsail/jobs/crashes.py
+++ b/src/persimmonsail/jobs/crashes.py
@@ -206,7 +206,7 @@
         """
         found = []
         for run in crash.runs:
-            task = self._board.find(run.task)
+            task = self._board.find_task(run.task)
             if task is None or task.job.phase.is_final:
                 continue
             state = task.state
@@ -235,7 +235,7 @@
             proofs=before.proofs + is_proof,
             beside=not before.total and not (likely and _is_recent(run)),
         )
-        self._board.note_crashes(task, crashes)
+        self._board.update_crashes(task, crashes)
 
     def _excuse(
         self,
@@ -256,7 +256,7 @@
             run=run.run,
             beside=not (_is_recent(run) and (began_last or before.total)),
         )
-        self._board.note_crashes(task, crashes)
+        self._board.update_crashes(task, crashes)
 
     def _skip_others(
         self,
@@ -274,7 +274,7 @@
                 self._excuse(task, run, began_last=False)
                 continue
             crashes = task.state.crashes._replace(run=run.run)
-            self._board.note_crashes(task, crashes)
+            self._board.update_crashes(task, crashes)
 
     def _roll_back(self, group: _CrashGroup, now: float) -> None:
         """Excuse the counted crashes of a group that proved simultaneous."""
@@ -292,7 +292,7 @@
                 excused=crashes.excused + 1,
                 beside=not (recent and likely),
             )
-            self._board.note_crashes(task, rolled_back)
+            self._board.update_crashes(task, rolled_back)
             task.not_before = min(task.not_before, now)
         group.counted_crashes.clear()
 
--- a/src/persimmonsail/jobs/eviction.py
+++ b/src/persimmonsail/jobs/eviction.py
@@ -17,19 +17,19 @@
 # to 1.0 s (emulator, 16 days: 0.76 of the heavy jobs on time with 4 s, 0.79
 # with 2 s, 0.84 with this value).
 _SLOW_PERCENT = 25
-_SLOW_SECONDS = 0.7
+_MAX_THROTTLED_SECONDS = 0.7
 # A run with more progress than this is not worth moving.
 _NEARLY_DONE_PERCENT = 92
 
 
-def note_pace(run: instances.Run, percent: int, now: float) -> None:
+def record_speed_limit(run: instances.Run, percent: int, now: float) -> None:
     """Record a run's new speed limit, and since when it has been low."""
-    run.pace = percent
-    run.paced_at = now
+    run.speed_limit = percent
+    run.speed_limit_at = now
     if percent >= _SLOW_PERCENT:
-        run.slow_since = 0.0
+        run.throttled_since = 0.0
     else:
-        run.slow_since = run.slow_since or now
+        run.throttled_since = run.throttled_since or now
 
 
 def select_leaving(
@@ -44,7 +44,7 @@
     """
     if not instance.leaving:
         return []
-    remaining_seconds = instance.gone_at - now
+    remaining_seconds = instance.departs_at - now
     return [
         run
         for run in instance.runs.values()
@@ -72,11 +72,11 @@
     """
     return [
         run
-        for run in instance.fillers
+        for run in instance.best_effort_runs
         if run.phase is instances.RunPhase.RUNNING
         and run.step.checkpoints
-        and run.slow_since
-        and now - run.slow_since >= _SLOW_SECONDS
+        and run.throttled_since
+        and now - run.throttled_since >= _MAX_THROTTLED_SECONDS
         and run.percent < _NEARLY_DONE_PERCENT
         and not is_last(run)
     ]
--- a/src/persimmonsail/jobs/fleet.py
+++ b/src/persimmonsail/jobs/fleet.py
@@ -85,7 +85,7 @@
             self._group.start_soon(link.run)
         return self.instances[address]
 
-    def count_claim(self, task: job_module.Task) -> None:
+    def adopt_claim(self, task: job_module.Task) -> None:
         """Adopt a run that an earlier leader has placed.
 
         That leader may have allowed leases until it noticed that it was
@@ -104,12 +104,12 @@
             queue=task.job.queue,
             ordered_at=now,
             # Unknown; the first throttling order sets it.
-            pace=0,
+            speed_limit=0,
             suspect=task.is_suspect,
         )
         instance.add_run(run)
         if task.state.crashes.apart:
-            suspects.keep_apart(task, run, instance)
+            suspects.isolate(task, run, instance)
 
     def stop_task(self, task: job_module.Task) -> None:
         """Stop the run of a placed task."""
@@ -121,14 +121,14 @@
             return
         self._order_stop(instance, run)
 
-    def start(self, claim: placer.Claim, known_at: float) -> None:
+    def start(self, claim: placer.Claim, verified_at: float) -> None:
         """Order the start of a run whose claim is committed.
 
         Parameters
         ----------
         claim : persimmonsail.jobs.placer.Claim
             The claimed run.
-        known_at : float
+        verified_at : float
             When its job was last known not to be cancelled, on ``clock``.
         """
         instance = claim.instance
@@ -144,10 +144,10 @@
             instance.drop_run(key)
             return
         link = self._links[instance.address]
-        expires_at = known_at + _START_DEADLINE_SECONDS
+        expires_at = verified_at + _START_DEADLINE_SECONDS
         deadline = link.to_sidecar_clock(expires_at)
         if deadline is None or clock.read() >= expires_at:
-            self._roll_back(claim, known_at)
+            self._roll_back(claim, verified_at)
             return
         claim.run.order = link.next_sequence
         start = link.edit_next_orders().starts.add()
@@ -155,18 +155,18 @@
         _fill_start(start, claim.run)
         start.payload = claim.task.job.specification.payload
         start.checkpoint = claim.task.state.checkpoint
-        start.ticket = claim.ticket
-        if claim.run.pace < 100:
-            start.percent = claim.run.pace
+        start.ticket = claim.permit
+        if claim.run.speed_limit < 100:
+            start.percent = claim.run.speed_limit
 
-    def _roll_back(self, claim: placer.Claim, known_at: float) -> None:
+    def _roll_back(self, claim: placer.Claim, verified_at: float) -> None:
         """Roll back a claim whose start was never sent."""
         logs.write_event(
             'claim-withdrawn',
             task=claim.run.task,
             run=claim.run.number,
             instance=claim.instance.address,
-            known_seconds=clock.read() - known_at,
+            known_seconds=clock.read() - verified_at,
         )
         self._reader.roll_back_claim(claim.instance, claim.run)
         self._on_reaction(reports.Reaction(replan=True))
@@ -186,12 +186,12 @@
                     number=instance.acknowledged,
                 )
 
-    def give_up_unreachable(self) -> None:
+    def abandon_unreachable(self) -> None:
         """Abandon runs of instances whose leases have all expired."""
         now = clock.read()
         for instance in self.instances.values():
             if instance.runs and now > instance.leases_until:
-                if not instance.attached or not instance.known:
+                if not instance.attached or not instance.has_agent:
                     self._reader.abandon_runs(instance, 'unreachable')
         self._stop_unneeded()
 
@@ -207,7 +207,7 @@
         instance.attached = True
         # A restarted sidecar has lost its state.
         instance.acknowledged = 0
-        instance.reported = False
+        instance.has_reported = False
         logs.write_event('instance-attached', instance=instance.address)
         orders = self._links[instance.address].edit_next_orders()
         for run in instance.runs.values():
@@ -233,7 +233,7 @@
         for run in eviction.select_leaving(instance, now):
             self._evict(instance, run, 'leaving')
         for run in eviction.select_starved(
-            instance, now, self._reader.is_last
+            instance, now, self._reader.is_last_placed
         ):
             self._evict(instance, run, 'starved')
         self._stop_unneeded()
@@ -241,11 +241,11 @@
 
     def _stop_unneeded(self) -> None:
         """Stop members of broken gangs, and runs of tasks already done."""
-        for broken in self._reader.pop_broken():
+        for broken in self._reader.pop_broken_gang_tasks():
             for member in broken.job.list_gang(broken):
                 if member.is_placed:
                     self.stop_task(member)
-        for recalled in self._reader.pop_recalled():
+        for recalled in self._reader.pop_superseded_tasks():
             self.stop_task(recalled)
 
     def _evict(
@@ -258,7 +258,7 @@
             instance=instance.address,
             reason=reason,
             percent=run.percent,
-            pace=run.pace,
+            pace=run.speed_limit,
         )
         self._order_stop(instance, run)
 
@@ -284,10 +284,10 @@
             task=run.task,
             run=run.number,
             instance=instance.address,
-            before=run.pace,
+            before=run.speed_limit,
             percent=percent,
         )
-        eviction.note_pace(run, percent, clock.read())
+        eviction.record_speed_limit(run, percent, clock.read())
         orders = self._links[instance.address].edit_next_orders()
         orders.paces.add(task=run.task, run=run.number, percent=percent)
 
--- a/src/persimmonsail/jobs/places.py
+++ b/src/persimmonsail/jobs/fleetsnapshot.py
@@ -43,7 +43,7 @@
         return len(self._numbers)
 
 
-class Places:
+class FleetSnapshot:
     """The state of a leader's instances, one array per property.
 
     Rows are instances in the order of the fleet. Call ``refresh`` at the
@@ -105,7 +105,7 @@
         for row, instance in enumerate(fleet):
             changed = self._versions[row] != instance.version
             if changed or now - self._read_at[row] > _MAX_AGE_SECONDS:
-                self.read(row)
+                self.update_row(row)
 
     def find_row(self, instance: instances.Instance) -> int:
         """Return an instance's row."""
@@ -128,7 +128,7 @@
         self._mean_load = numpy.zeros((count, _INITIAL_COLUMNS))
         self._current_load = numpy.zeros((count, _INITIAL_COLUMNS))
 
-    def read(self, row: int) -> None:
+    def update_row(self, row: int) -> None:
         """Update the row of one instance."""
         instance = self.fleet[row]
         self._versions[row] = instance.version
@@ -137,10 +137,12 @@
         self.capacity[row] = instance.capacity.millicores
         self.free[row] = (free.millicores, free.memory_mib, free.accelerators)
         serving = instance.serving
-        self._is_over_target[row] = any(run.over_since for run in serving)
+        self._is_over_target[row] = any(
+            run.over_target_since for run in serving
+        )
         self._read_usage(row, instance)
         self._read_serving(row, instance.address, serving)
-        self._read_best_effort(row, instance.fillers)
+        self._read_best_effort(row, instance.best_effort_runs)
 
     def _read_usage(self, row: int, instance: instances.Instance) -> None:
         declared = 0
@@ -201,7 +203,7 @@
     @property
     def unused(self) -> numpy.ndarray:
         """Estimated unused millicores; shape (instances,)."""
-        use = self._model.estimate_use()
+        use = self._model.estimate_serving_use()
         return self.capacity - use * self._declared - self._other_runs
 
     def find_image(self, image: str) -> int:
@@ -227,7 +229,7 @@
         )
         for row, serving in enumerate(self._serving_images):
             for column, best_effort in enumerate(self._best_effort_images):
-                bounds[row, column] = self._model.get_bound(
+                bounds[row, column] = self._model.get_upper_bound(
                     serving, best_effort
                 )
         self._interference_bounds = bounds
--- a/src/persimmonsail/jobs/gauges.py
+++ b/src/persimmonsail/jobs/gauges.py
@@ -29,7 +29,7 @@
 _GAUGE_NOISE = 0.15
 # Uncertainty of the interference, for each share of an instance that
 # best-effort work occupied or released recently.
-_CHANGE_DOUBT = 1.0
+_CHANGE_UNCERTAINTY = 1.0
 # Errors of successive gauges are correlated, so each carries less information
 # than its variance alone suggests.
 _MIN_VARIANCE = 0.05**2
@@ -117,7 +117,7 @@
     variance = 0.0
     for sample in (first, second):
         variance += (_GAUGE_NOISE * (1 - sample.fullness)) ** 2
-        variance += (_CHANGE_DOUBT * sample.recent_change) ** 2
+        variance += (_CHANGE_UNCERTAINTY * sample.recent_change) ** 2
     return variance + _MIN_VARIANCE
 
 
@@ -125,7 +125,7 @@
     """Return the shares of an instance that best-effort images use."""
     shares: dict[str, float] = collections.defaultdict(float)
     capacity = max(instance.capacity.millicores, 1)
-    for run in instance.fillers:
+    for run in instance.best_effort_runs:
         if run.phase is instances.RunPhase.RUNNING and run.gauge > 0:
             shares[run.step.image] += run.gauge / capacity
     return dict(shares)
--- a/src/persimmonsail/jobs/life.py
+++ b/src/persimmonsail/jobs/incarnation.py
@@ -245,7 +245,9 @@
         bound = self.granted_until + LAPSE_MARGIN_SECONDS
         return unanswered_seconds > UNREACHABLE_SECONDS and now > bound
 
-    def apply_snapshot(self, snapshot: worker_module.Look, now: float) -> bool:
+    def apply_snapshot(
+        self, snapshot: worker_module.Snapshot, now: float
+    ) -> bool:
         """Apply a snapshot; return whether running or ended runs changed.
 
         Answers on different connections can be reordered, so a snapshot
--- a/src/persimmonsail/jobs/lifereport.py
+++ b/src/persimmonsail/jobs/incarnationreport.py
@@ -1,7 +1,7 @@
 """Conversion between an agent's incarnation and protocol messages."""
 
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as incarnation_module
+from persimmonsail.jobs import incarnation as incarnation_module
 from persimmonsail.jobs import specification
 
 
--- a/src/persimmonsail/jobs/soundness.py
+++ b/src/persimmonsail/jobs/instancehealth.py
@@ -13,7 +13,7 @@
 _STALL_PAUSE_SECONDS = 1.4
 
 
-class Soundness:
+class HealthTracker:
     """Withholds new work from instances that fail it.
 
     Parameters
--- a/src/persimmonsail/jobs/instances.py
+++ b/src/persimmonsail/jobs/instances.py
@@ -38,34 +38,34 @@
     order : int
         The sequence number of the orders with its start or its stop; 0 for
         none by this leader.
-    ordered_at, seen_at : float
+    ordered_at, observed_at : float
         When the start was claimed, and when the run was first observed
         running; 0 before. Seconds of the leader's clock.
-    due : float
+    due_at : float
         When its job's objective is missed, in seconds of the leader's
         clock; 0 if it has none.
     percent : float
         Progress in percent; for a long-running task whether it is
         working.
-    moved_at : float
+    progressed_at : float
         When ``percent`` last changed.
     gauge : float
         Tail latency in milliseconds for a serving task, else millicores
         in use.
-    pace : int
+    speed_limit : int
         The speed limit that was ordered, in percent.
-    paced_at : float
+    speed_limit_at : float
         When the speed limit was last ordered; 0 for never.
-    slow_since : float
+    throttled_since : float
         Since when the speed limit has been low; 0 if it is not.
-    over_since : float
+    over_target_since : float
         Since when it has been over its latency target; 0 if it is not.
-    under_looks : int
+    reports_within_target : int
         Number of consecutive reports since then with the gauge within
         the target.
     suspect : bool
         Whether its task is a crash suspect.
-    apart_seconds : float
+    isolation_seconds : float
         For how long nothing else is started on its instance, if it is
         isolated.
     """
@@ -78,18 +78,18 @@
     phase: RunPhase = RunPhase.ORDERED
     order: int = 0
     ordered_at: float = 0.0
-    seen_at: float = 0.0
-    due: float = 0.0
+    observed_at: float = 0.0
+    due_at: float = 0.0
     percent: float = 0.0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
     gauge: float = 0.0
-    pace: int = 100
-    paced_at: float = 0.0
-    slow_since: float = 0.0
-    over_since: float = 0.0
-    under_looks: int = 0
+    speed_limit: int = 100
+    speed_limit_at: float = 0.0
+    throttled_since: float = 0.0
+    over_target_since: float = 0.0
+    reports_within_target: int = 0
     suspect: bool = False
-    apart_seconds: float = 0.0
+    isolation_seconds: float = 0.0
 
     @property
     def serves(self) -> bool:
@@ -119,11 +119,11 @@
         From its worker's agent; empty until that is known.
     leaving : bool
         Whether it is draining and gets no new work.
-    gone_at : float
+    departs_at : float
         When a leaving one may end; 0 if it is not known.
     attached : bool
         Whether this leader has a link to it.
-    reported : bool
+    has_reported : bool
         Whether its sidecar has reported its running and ended runs over
         that link. Before that it gets nothing new, since the work that it
         would get may be among the ends in the first report.
@@ -134,20 +134,20 @@
         For how long its worker's agent has not answered its sidecar.
     answered_at : float
         When that agent last answered, in seconds of the leader's clock.
-    known : bool
+    has_agent : bool
         Whether its sidecar knows a worker's agent.
     suspect_until : float
         Time up to which it gets no work because its runs have failed.
-    apart : Run, optional
+    isolated_run : Run, optional
         The last run that was isolated here.
-    cleared_for : str
+    reserved_for : str
         The crash suspect that the instance is reserved for; empty for
         none.
-    cleared_until : float
+    reserved_until : float
         Time up to which it is reserved.
     committed : persimmonsail.jobs.specification.Size
         The capacity that all runs take, including stopping ones.
-    processed : int
+    processed_end : int
         The last end of this boot that was processed.
     committed_end, acknowledged : int
         The last end that is committed, and acknowledged to the sidecar.
@@ -164,20 +164,20 @@
     labels: tuple[str, ...] = ()
     capacity: specification.Size = specification.Size()
     leaving: bool = False
-    gone_at: float = 0.0
+    departs_at: float = 0.0
     attached: bool = False
-    reported: bool = False
+    has_reported: bool = False
     leases_until: float = 0.0
     silent_seconds: float = 0.0
     answered_at: float = 0.0
-    known: bool = True
+    has_agent: bool = True
     suspect_until: float = 0.0
     runs: dict[RunId, Run] = dataclasses.field(default_factory=dict)
-    apart: Run | None = None
-    cleared_for: str = ''
-    cleared_until: float = 0.0
+    isolated_run: Run | None = None
+    reserved_for: str = ''
+    reserved_until: float = 0.0
     committed: specification.Size = specification.Size()
-    processed: int = 0
+    processed_end: int = 0
     committed_end: int = 0
     acknowledged: int = 0
     version: int = 0
@@ -219,34 +219,36 @@
         return [run for run in self.runs.values() if run.serves]
 
     @property
-    def fillers(self) -> list[Run]:
+    def best_effort_runs(self) -> list[Run]:
         """The best-effort runs, which use spare capacity."""
         return [r for r in self.runs.values() if r.step.best_effort_cpu]
 
     @property
-    def suspects(self) -> int:
+    def suspect_count(self) -> int:
         """The number of runs whose task is a crash suspect."""
         return sum(run.suspect for run in self.runs.values())
 
     def is_reserved(self, now: float) -> bool:
         """Return whether a crash suspect has or awaits it exclusively."""
-        if now < self.cleared_until:
+        if now < self.reserved_until:
             return True
-        run = self.apart
+        run = self.isolated_run
         if run is None or self.runs.get((run.task, run.number)) is not run:
             return False
-        return now - (run.seen_at or run.ordered_at) < run.apart_seconds
+        return (
+            now - (run.observed_at or run.ordered_at) < run.isolation_seconds
+        )
 
-    def is_cleared_for(self, task: str, now: float) -> bool:
+    def is_reserved_for(self, task: str, now: float) -> bool:
         """Return whether it is reserved for this crash suspect."""
-        return now < self.cleared_until and self.cleared_for == task
+        return now < self.reserved_until and self.reserved_for == task
 
-    def measure_quiet(self, now: float) -> float:
+    def measure_seconds_since_start(self, now: float) -> float:
         """Return the seconds since the last start of a run.
 
         A run that was ordered and not yet observed may start at any time.
         """
-        began = [run.seen_at or now for run in self.runs.values()]
+        began = [run.observed_at or now for run in self.runs.values()]
         return now - max(began, default=-math.inf)
 
     def count_step(self, step_name: str) -> int:
--- a/src/persimmonsail/jobs/intake.py
+++ b/src/persimmonsail/jobs/intake.py
@@ -212,7 +212,7 @@
             else:
                 leader = self._get_local_leader()
                 if leader is not None and leader.loaded:
-                    leader.note_job(id, text)
+                    leader.add_job(id, text)
                 return Outcome.ACCEPTED
             if self._should_abandon(deadline):
                 return Outcome.UNKNOWN
@@ -291,7 +291,7 @@
             logs.write_event('cancel-repeated', job=id)
         leader = self._get_local_leader()
         if leader is not None and leader.loaded:
-            leader.note_cancel(id, marker)
+            leader.cancel_job(id, marker)
         if await self._store.get(record.JOBS + id) is None:
             return Outcome.ABSENT
         return Outcome.ACCEPTED
--- a/src/persimmonsail/jobs/interference.py
+++ b/src/persimmonsail/jobs/interference.py
@@ -60,13 +60,13 @@
 _SLOPE_ERROR = 0.5
 # A difference that deviates by more than this many standard deviations is
 # given less weight.
-_WIDEST = 2.0
+_MAX_DEVIATIONS = 2.0
 # Fullness is weighted by the inverse of this plus the interference in it.
 _INTERFERENCE_OFFSET = 0.05
 # By how many standard deviations the highest of one, two, three, four or more
 # independently varying loads exceeds their mean (order statistics of a normal
 # distribution).
-HIGHEST = (0.0, 0.56, 0.85, 1.03)
+EXPECTED_MAXIMA = (0.0, 0.56, 0.85, 1.03)
 # Assumed share of its declared processors that a serving task uses. Learning
 # it from instances that are full had no benefit (emulator, 12 days of known
 # shapes and 16 drawn: +0.004 +-0.006 and +0.001 +-0.001 without it).
@@ -135,15 +135,15 @@
         """Return how strongly one image interferes with another."""
         return self._fits.get(serving, self._unknown_fit).get(best_effort)
 
-    def get_bound(self, serving: str, best_effort: str) -> float:
+    def get_upper_bound(self, serving: str, best_effort: str) -> float:
         """Return the probable upper bound of a coefficient."""
-        return self._fits.get(serving, self._unknown_fit).get_bound(
+        return self._fits.get(serving, self._unknown_fit).get_upper_bound(
             best_effort
         )
 
-    def get_least(self, serving: str, best_effort: str) -> float:
+    def get_lower_bound(self, serving: str, best_effort: str) -> float:
         """Return the probable lower bound of a coefficient."""
-        return self._fits.get(serving, self._unknown_fit).get_least(
+        return self._fits.get(serving, self._unknown_fit).get_lower_bound(
             best_effort
         )
 
@@ -182,7 +182,7 @@
             value = self._read_load(run.step.image, sample)
         return value + load.predict_rise()
 
-    def estimate_doubt(self) -> float:
+    def estimate_uncertainty(self) -> float:
         """Return by how much a load may exceed its estimate."""
         expected = (
             self._prediction_errors.mean
@@ -202,14 +202,16 @@
             there are, the more likely one of them is at its peak.
         """
         summary = self._summarize(step_name)
-        factor = HIGHEST[min(max(step_count, 1), len(HIGHEST)) - 1]
+        factor = EXPECTED_MAXIMA[
+            min(max(step_count, 1), len(EXPECTED_MAXIMA)) - 1
+        ]
         return summary.mean + factor * summary.deviation
 
     def estimate_limit(self) -> float:
         """Return the fullness at which a run just meets its target."""
         return 1 - gauges.ZERO_FULLNESS_RATIO
 
-    def estimate_use(self) -> float:
+    def estimate_serving_use(self) -> float:
         """Return which share of their processors serving tasks use."""
         return _SERVING_USE
 
@@ -331,7 +333,9 @@
             observed = min(observed, expected)
         variance = gauges.measure_variance(sample, other) + load_variance
         deviations = abs(observed - expected) / math.sqrt(variance)
-        confidence = min(_WIDEST / deviations, 1.0) if deviations else 1.0
+        confidence = (
+            min(_MAX_DEVIATIONS / deviations, 1.0) if deviations else 1.0
+        )
         fit.add(differences, observed, confidence * _NOISE * _NOISE / variance)
 
     def _note_load(
--- a/src/persimmonsail/jobs/job.py
+++ b/src/persimmonsail/jobs/job.py
@@ -26,7 +26,7 @@
         Instances where it failed; others are tried first.
     not_before : float
         Earliest placement time, in seconds of the leader's clock.
-    apart_since : float
+    isolation_wait_since : float
         Since when it waits for an instance where it is isolated from other
         suspects; 0 if it doesn't wait.
     refusals : int
@@ -39,7 +39,7 @@
     state: record.TaskRecord
     avoid: set[str] = dataclasses.field(default_factory=set)
     not_before: float = 0.0
-    apart_since: float = 0.0
+    isolation_wait_since: float = 0.0
     refusals: int = 0
 
     @property
@@ -71,7 +71,7 @@
         return self.job.specification.find_due_ms(self.key.occurrence)
 
     @property
-    def since_ms(self) -> int:
+    def objective_start_ms(self) -> int:
         """When its job's objective starts to apply to it."""
         return max(self.job.accepted_ms, self.due_ms)
 
@@ -125,7 +125,7 @@
         return record.JobState(self.committed_phase, reason)
 
     @functools.cached_property
-    def tails_ms(self) -> tuple[int, ...]:
+    def remaining_path_ms(self) -> tuple[int, ...]:
         """For each step, the estimated time from its start to the job end."""
         steps = self.specification.steps
         tails = [step.estimate_ms for step in steps]
@@ -144,7 +144,7 @@
         return [
             member
             for key, member in self.tasks.items()
-            if key.of_step == task.key.of_step
+            if key.step_key == task.key.step_key
         ]
 
     def note_placed(self, task: Task) -> None:
@@ -159,13 +159,13 @@
 
     def note_done(self, task: Task) -> None:
         """Count a task as done, and open steps that depended on it."""
-        step = task.key.of_step
+        step = task.key.step_key
         self._remaining[step] -= 1
         if not self._remaining[step]:
             self._open_steps()
 
     @property
-    def left_core_ms(self) -> float:
+    def remaining_core_ms(self) -> float:
         """The estimated CPU time of all tasks that aren't done."""
         steps = self.specification.steps
         return sum(
@@ -182,7 +182,9 @@
         remaining: dict[tuple[int, int], int] = {}
         for key, task in self.tasks.items():
             done = task.state.phase is record.TaskPhase.DONE
-            remaining[key.of_step] = remaining.get(key.of_step, 0) + (not done)
+            remaining[key.step_key] = remaining.get(key.step_key, 0) + (
+                not done
+            )
         return remaining
 
     def _open_steps(self) -> None:
--- a/src/persimmonsail/jobs/leader.py
+++ b/src/persimmonsail/jobs/leader.py
@@ -20,13 +20,13 @@
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import commits
 from persimmonsail.jobs import fleet as fleet_module
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import inbox
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
+from persimmonsail.jobs import learnedstate
 from persimmonsail.jobs import ledger as ledger_module
-from persimmonsail.jobs import memory
 from persimmonsail.jobs import placer
-from persimmonsail.jobs import places
 from persimmonsail.jobs import queues
 from persimmonsail.jobs import record
 from persimmonsail.jobs import reports
@@ -82,7 +82,7 @@
         self.loaded = False
         self._wake = anyio.Event()
         self._model = interference.Model()
-        self._snapshot = places.Places()
+        self._snapshot = fleetsnapshot.FleetSnapshot()
         self._approvals = advice.Approvals()
         self._reader = reports.Reader(
             self.board,
@@ -96,7 +96,7 @@
             ledger, lease_seconds, self._reader, self._handle_reaction
         )
         self._commits = commits.Commits(
-            self.board, ledger, self.note_cancel, self._forget_job
+            self.board, ledger, self.cancel_job, self._forget_job
         )
 
     async def run(self) -> None:
@@ -113,23 +113,25 @@
                 self._retention_seconds,
             )
             group.start_soon(self._run_checkpoint_loop)
-            group.start_soon(memory.keep_saving, self._store, self._model)
             group.start_soon(
-                capacities.keep_saving, self._store, self._fleet.instances
+                learnedstate.run_save_loop, self._store, self._model
+            )
+            group.start_soon(
+                capacities.run_save_loop, self._store, self._fleet.instances
             )
             if self._advisor is not None:
                 group.start_soon(
-                    advice.keep_asking,
+                    advice.run_question_loop,
                     self._advisor,
                     self._approvals,
                     lambda: self._wake.set(),
                 )
             await self._run_rounds()
 
-    async def save_knowledge(self) -> None:
+    async def save_learned_state(self) -> None:
         """Persist the learned state before this leader stops."""
         if self.loaded:
-            await memory.save_last(self._store, self._model)
+            await learnedstate.save_last(self._store, self._model)
 
     def count_pending(self, queue: str) -> int | None:
         """Return how many jobs of a queue wait for their first task.
@@ -143,7 +145,7 @@
             return None
         return self.board.count_pending(queue)
 
-    def note_job(self, id: str, text: str) -> None:
+    def add_job(self, id: str, text: str) -> None:
         """Add an accepted job; does nothing if it was added before."""
         if id in self.board.jobs:
             return
@@ -158,7 +160,7 @@
             )
             self._wake.set()
 
-    def note_cancel(self, id: str, text: str) -> None:
+    def cancel_job(self, id: str, text: str) -> None:
         """Cancel a job, and stop its runs.
 
         Parameters
@@ -190,7 +192,7 @@
             self._wake.set()
 
     def _get_max_attempts(self, queue: str) -> int:
-        terms = self._view.seen.get(queue)
+        terms = self._view.queues_by_name.get(queue)
         # Only jobs stored by an older version lack terms of their own.
         return terms.max_attempts if terms else 1
 
@@ -204,7 +206,7 @@
         for item in page.items:
             self._apply_entry(item.key, item.value, progress_texts)
         self._restore_claims()
-        await memory.load(self._store, self._model)
+        await learnedstate.load(self._store, self._model)
         self.loaded = True
         logs.write_event(
             'loaded',
@@ -226,7 +228,7 @@
             if job is not None:
                 self.board.add(job)
         elif key.startswith(record.CANCELS):
-            self.note_cancel(key.removeprefix(record.CANCELS), value)
+            self.cancel_job(key.removeprefix(record.CANCELS), value)
         elif key.startswith(record.INSTANCES):
             self._register_instance(key.removeprefix(record.INSTANCES), value)
 
@@ -250,7 +252,7 @@
         # forever, until the configuration is read, and also if the queue
         # has been removed from it since.
         if stored.terms is not None:
-            self._view.remember(stored.terms)
+            self._view.add(stored.terms)
         return job
 
     def _restore_claims(self) -> None:
@@ -261,7 +263,7 @@
         """
         for job in self.board.jobs.values():
             for task in job.list_placed():
-                self._fleet.count_claim(task)
+                self._fleet.adopt_claim(task)
 
     def _register_instance(self, address: str, text: str) -> None:
         try:
@@ -283,7 +285,7 @@
         if change.value is None:
             return
         if key.startswith(record.JOBS):
-            self.note_job(key.removeprefix(record.JOBS), change.value)
+            self.add_job(key.removeprefix(record.JOBS), change.value)
         else:
             self._apply_entry(key, change.value, {})
 
@@ -291,13 +293,13 @@
         started_at = clock.read()
         while True:
             self._wake = anyio.Event()
-            self._fleet.give_up_unreachable()
+            self._fleet.abandon_unreachable()
             previous_start, started_at = started_at, clock.read()
             claims = scheduling.plan(
                 self.board,
                 self._snapshot,
                 self._fleet.instances.values(),
-                self._view.seen,
+                self._view.queues_by_name,
                 self._reader.slowdowns,
                 self._model,
                 self._approvals,
@@ -306,7 +308,7 @@
                 started_at - previous_start,
             )
             planning_seconds = clock.read() - started_at
-            is_full = len(claims) >= scheduling.MOST_CLAIMS
+            is_full = len(claims) >= scheduling.MAX_CLAIMS
             await self._commit(claims)
             self._fleet.acknowledge()
             if not is_full:
@@ -320,7 +322,7 @@
         """Commit all changed jobs, then order the starts of the claims."""
         # Ends that arrive while the store commits are in no write yet.
         processed = [
-            (instance, instance.boot, instance.processed)
+            (instance, instance.boot, instance.processed_end)
             for instance in self._fleet.instances.values()
         ]
         changed = sorted(self.board.changed)
--- a/src/persimmonsail/jobs/memory.py
+++ b/src/persimmonsail/jobs/learnedstate.py
@@ -32,7 +32,7 @@
 ) -> None:
     """Restore what an earlier leader has learnt, if it can be read."""
     try:
-        item = await store.get(record.KNOWLEDGE)
+        item = await store.get(record.LEARNED_STATE)
     except exceptions.StoreUnavailable as error:
         logs.write_event('knowledge-unheard', error=error)
         return
@@ -49,7 +49,7 @@
     )
 
 
-async def keep_saving(
+async def run_save_loop(
     store: store_module.TransactionalStore,
     model: interference.Model,
     period_seconds: float = _SAVE_PERIOD_SECONDS,
@@ -88,7 +88,7 @@
         logs.write_event('knowledge-unsaved', error='too large')
         return text
     try:
-        await store.put(record.KNOWLEDGE, text)
+        await store.put(record.LEARNED_STATE, text)
     except exceptions.StoreError as error:
         logs.write_event('knowledge-unsaved', error=error)
         return saved
--- a/src/persimmonsail/jobs/link.py
+++ b/src/persimmonsail/jobs/link.py
@@ -207,7 +207,7 @@
             lease = self._get_lease_bound()
             # A sidecar without a known worker's agent grants no leases, so
             # those of an earlier one are left to expire.
-            if self._sidecar_clock and lease and self._instance.known:
+            if self._sidecar_clock and lease and self._instance.has_agent:
                 orders.ticket = self._sidecar_clock
                 lease_end = clock.read() + lease
                 latest = max(self._instance.leases_until, lease_end)
--- a/src/persimmonsail/jobs/observations.py
+++ b/src/persimmonsail/jobs/observations.py
@@ -13,7 +13,7 @@
 
 # A run whose percentage has not changed for this long is stalled: polls are
 # half a second apart, and a run that resumes needs 0.6 s first.
-_STILL_SECONDS = 1.3
+_STALL_SECONDS = 1.3
 # Only runs that should advance by at least 3 percent in that time are checked.
 _MAX_ESTIMATE_MS = 30_000
 # A single run may be waiting for a cause of its own; several at once are
@@ -39,7 +39,7 @@
         queue=task.job.queue if task else '',
         ordered_at=now,
         # Unknown until the first order sets it.
-        pace=0,
+        speed_limit=0,
     )
     instance.add_run(run)
     return run
@@ -51,11 +51,11 @@
     """Record a run's progress and gauge."""
     if run.phase is instances.RunPhase.ORDERED:
         run.phase = instances.RunPhase.RUNNING
-    if not run.seen_at:
-        run.seen_at = now
-        run.moved_at = now
+    if not run.observed_at:
+        run.observed_at = now
+        run.progressed_at = now
     if row.percent != run.percent:
-        run.moved_at = now
+        run.progressed_at = now
     run.percent = row.percent
     run.gauge = row.gauge
     _note_target(run, now)
@@ -71,12 +71,15 @@
         return
     ratio = run.gauge / run.step.latency_target_ms
     if ratio > 1:
-        run.over_since = run.over_since or now
-        run.under_looks = 0
-    elif run.over_since:
-        run.under_looks += 1
-        if ratio < _CLEARLY_UNDER_RATIO or run.under_looks >= _MIN_POLLS_UNDER:
-            run.over_since = 0.0
+        run.over_target_since = run.over_target_since or now
+        run.reports_within_target = 0
+    elif run.over_target_since:
+        run.reports_within_target += 1
+        if (
+            ratio < _CLEARLY_UNDER_RATIO
+            or run.reports_within_target >= _MIN_POLLS_UNDER
+        ):
+            run.over_target_since = 0.0
 
 
 def note_description(
@@ -89,7 +92,7 @@
         report.capacity.accelerators,
     )
     if report.leaving and not instance.leaving:
-        instance.gone_at = now + report.remaining_seconds
+        instance.departs_at = now + report.remaining_seconds
         logs.write_event(
             'instance-leaving',
             instance=instance.address,
@@ -114,7 +117,7 @@
     """
     checked_runs = [run for run in instance.runs.values() if _should_move(run)]
     stalled_runs = [
-        run for run in checked_runs if now - run.moved_at > _STILL_SECONDS
+        run for run in checked_runs if now - run.progressed_at > _STALL_SECONDS
     ]
     return len(stalled_runs) >= _MIN_STALLED_RUNS and 2 * len(
         stalled_runs
@@ -126,7 +129,7 @@
         run.phase is instances.RunPhase.RUNNING
         and not run.step.long_running
         and not run.step.gang
-        and run.pace == _FULL_SPEED_PERCENT
+        and run.speed_limit == _FULL_SPEED_PERCENT
         and 0 < run.step.estimate_ms <= _MAX_ESTIMATE_MS
     )
 
--- a/src/persimmonsail/jobs/order.py
+++ b/src/persimmonsail/jobs/order.py
@@ -79,13 +79,15 @@
     """
     job = task.job
     objective_ms = find_objective_ms(job, queue)
-    remaining_ms = job.tails_ms[task.key.step] * slowdown
-    age_ms = now_ms - task.since_ms
+    remaining_ms = job.remaining_path_ms[task.key.step] * slowdown
+    age_ms = now_ms - task.objective_start_ms
     slack_ms = objective_ms - age_ms - remaining_ms
     if slack_ms >= -_ESTIMATE_ERROR * remaining_ms:
         work = job.specification.work_core_ms
         value = work + _FIXED_VALUE_SHARE * mean_work
-        return Urgency(queue.priority, 0, job.left_core_ms / max(value, 1.0))
+        return Urgency(
+            queue.priority, 0, job.remaining_core_ms / max(value, 1.0)
+        )
     late = age_ms + remaining_ms <= _MAX_LATE_FACTOR * objective_ms
     return Urgency(queue.priority, 1 if late else 2, remaining_ms)
 
--- a/src/persimmonsail/jobs/orders.py
+++ b/src/persimmonsail/jobs/orders.py
@@ -8,7 +8,7 @@
 from persimmonsail import exceptions
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as incarnation_module
+from persimmonsail.jobs import incarnation as incarnation_module
 from persimmonsail.jobs import worker as worker_module
 from persimmonsail import logs
 
@@ -179,7 +179,7 @@
             pace = fleet_pb2.Pace(
                 task=start.task, run=start.run, percent=start.percent
             )
-            await self.set_pace(incarnation, pace)
+            await self.set_speed_limit(incarnation, pace)
         self._on_change()
 
     def _find_refusal(
@@ -292,12 +292,12 @@
             self._on_barred(task, run, 'absent')
         self._on_change()
 
-    async def set_pace(
+    async def set_speed_limit(
         self, incarnation: incarnation_module.Incarnation, pace: fleet_pb2.Pace
     ) -> None:
         """Send a run's speed limit to the agent, without retrying."""
         try:
-            await self._worker.set_pace(
+            await self._worker.set_speed_limit(
                 incarnation.boot,
                 self._authority.epoch,
                 pace.task,
@@ -323,7 +323,7 @@
 
         Parameters
         ----------
-        incarnation : persimmonsail.jobs.life.Incarnation
+        incarnation : persimmonsail.jobs.incarnation.Incarnation
             The agent's incarnation to poll.
         extend : bool
             Whether leases are extended as far as the leader allows.
@@ -341,7 +341,7 @@
             until = incarnation.to_agent_clock(allowed)
             incarnation.granted_until = max(incarnation.granted_until, allowed)
         epoch = self._authority.epoch
-        snapshot = await self._worker.look(
+        snapshot = await self._worker.poll(
             incarnation.boot, epoch, incarnation.acknowledged, until, wait
         )
         incarnation.fenced_epoch = max(incarnation.fenced_epoch, epoch)
--- a/src/persimmonsail/jobs/placement.py
+++ b/src/persimmonsail/jobs/placement.py
@@ -15,15 +15,15 @@
 
 import numpy
 
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import job as job_module
-from persimmonsail.jobs import places as places_module
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import suspects
 
 # A best-effort task waits for an instance that allows at least this fraction
 # of its full speed: a slower one costs more time than the wait.
-LEAST_SPEED = 0.95
+MIN_SPEED = 0.95
 # An instance gets no new work once its worker's agent, which the sidecar
 # polls twice a second, has not answered for this long.
 _MAX_SILENCE_SECONDS = 0.7
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    places : persimmonsail.jobs.places.Places
+    snapshot : persimmonsail.jobs.fleetsnapshot.FleetSnapshot
         The fleet snapshot, refreshed for this round.
     step : persimmonsail.jobs.specification.Step
         The step.
@@ -54,23 +54,23 @@
 
     def __init__(
         self,
-        places: places_module.Places,
+        snapshot: fleetsnapshot.FleetSnapshot,
         step: specification.Step,
         step_name: str,
         usable: numpy.ndarray,
         boots: t.Collection[str] | None = None,
     ) -> None:
-        self._places = places
+        self._snapshot = snapshot
         self._step = step
         self._step_name = step_name
         self._allowed = usable
         if step.label:
             self._allowed = usable & [
-                step.label in instance.labels for instance in places.fleet
+                step.label in instance.labels for instance in snapshot.fleet
             ]
         if boots is not None:
             self._allowed = self._allowed & [
-                instance.boot in boots for instance in places.fleet
+                instance.boot in boots for instance in snapshot.fleet
             ]
         self._fits = self._allowed & self._check_capacity(_ALL_ROWS)
         self._speeds = self._estimate_speeds(_ALL_ROWS)
@@ -78,7 +78,7 @@
     def choose(
         self,
         avoid: t.Collection[str] = (),
-        min_speed: float = LEAST_SPEED,
+        min_speed: float = MIN_SPEED,
         rack: str | None = None,
         suspect: bool = False,
     ) -> instances.Instance | None:
@@ -96,7 +96,7 @@
             Whether the task is a crash suspect: a crash could not be
             attributed if two suspects were colocated.
         """
-        fleet = self._places.fleet
+        fleet = self._snapshot.fleet
         remaining = self._fits.copy()
         if self._step.best_effort_cpu:
             remaining &= self._speeds >= min_speed
@@ -108,7 +108,7 @@
             avoided = [instance.address in avoid for instance in fleet]
             remaining = _filter_lowest(remaining, numpy.array(avoided))
         if suspect:
-            suspects = [instance.suspects for instance in fleet]
+            suspects = [instance.suspect_count for instance in fleet]
             remaining = _filter_lowest(remaining, numpy.array(suspects))
         if self._step.data_rack:
             rack = self._step.data_rack
@@ -122,14 +122,17 @@
         self, avoid: t.Collection[str], now: float
     ) -> instances.Instance | None:
         """Return the instance where a crash of a suspect costs least."""
-        fleet = self._places.fleet
+        fleet = self._snapshot.fleet
         remaining = self._fits
         if not remaining.any():
             return None
         for score in (
             [instance.address in avoid for instance in fleet],
-            [not suspects.is_quiet(instance, now) for instance in fleet],
-            [instance.suspects for instance in fleet],
+            [
+                not suspects.has_no_recent_start(instance, now)
+                for instance in fleet
+            ],
+            [instance.suspect_count for instance in fleet],
             [len(instance.runs) for instance in fleet],
         ):
             remaining = _filter_lowest(remaining, numpy.array(score))
@@ -137,45 +140,45 @@
 
     def list_racks(self) -> list[str]:
         """Return the racks of the instances that may run the step."""
-        allowed = zip(self._places.fleet, self._allowed, strict=True)
+        allowed = zip(self._snapshot.fleet, self._allowed, strict=True)
         return sorted({instance.rack for instance, may in allowed if may})
 
     def update_instance(self, instance: instances.Instance) -> None:
         """Rate an instance again after its runs have changed."""
-        row = self._places.find_row(instance)
+        row = self._snapshot.find_row(instance)
         rows = slice(row, row + 1)
-        self._places.read(row)
+        self._snapshot.update_row(row)
         self._fits[rows] = self._allowed[rows] & self._check_capacity(rows)
         self._speeds[rows] = self._estimate_speeds(rows)
 
     def _check_capacity(self, rows: slice) -> numpy.ndarray:
         size = self._step.committed
         request = (size.millicores, size.memory_mib, size.accelerators)
-        fits = (self._places.free[rows] >= request).all(axis=1)
+        fits = (self._snapshot.free[rows] >= request).all(axis=1)
         limit = self._step.most_per_instance
         if limit:
             fits &= [
                 instance.count_step(self._step_name) < limit
-                for instance in self._places.fleet[rows]
+                for instance in self._snapshot.fleet[rows]
             ]
         return fits
 
     def _estimate_speeds(self, rows: slice) -> numpy.ndarray:
         if not self._step.best_effort_cpu:
-            return numpy.ones(len(self._places.fleet[rows]))
-        return self._places.estimate_speeds(self._step, rows)
+            return numpy.ones(len(self._snapshot.fleet[rows]))
+        return self._snapshot.estimate_speeds(self._step, rows)
 
     def _list_scores(self) -> list[numpy.ndarray]:
         """Return the scores, most significant first; lower is better."""
-        places = self._places
+        snapshot = self._snapshot
         if self._step.best_effort_cpu:
-            return [-self._speeds, -places.unused]
+            return [-self._speeds, -snapshot.unused]
         if not self._step.latency_target_ms:
-            return [-places.unused]
-        column = places.find_image(self._step.image)
-        other_images = places.image_counts - places.has_image[:, column]
-        empty = places.image_counts == 0
-        return [other_images, empty, numpy.where(empty, places.capacity, 0)]
+            return [-snapshot.unused]
+        column = snapshot.find_image(self._step.image)
+        other_images = snapshot.image_counts - snapshot.has_image[:, column]
+        empty = snapshot.image_counts == 0
+        return [other_images, empty, numpy.where(empty, snapshot.capacity, 0)]
 
 
 def _filter_lowest(
@@ -211,7 +214,7 @@
     for instance in fleet:
         # Cheap check first: few instances are reserved, and every suspect
         # searches the whole fleet in every round.
-        if not instance.is_cleared_for(suspect, now):
+        if not instance.is_reserved_for(suspect, now):
             continue
         if is_usable(instance, now, suspect):
             return instance
@@ -257,7 +260,7 @@
     return [
         instance
         for instance in list_usable(fleet, service, now)
-        if has_room(task, instance)
+        if has_capacity(task, instance)
     ]
 
 
@@ -267,20 +270,20 @@
     """Tell whether an instance accepts new work, or this suspect."""
     return (
         instance.attached
-        and instance.reported
+        and instance.has_reported
         and bool(instance.boot)
         and not instance.leaving
-        and instance.known
+        and instance.has_agent
         and instance.silent_seconds < _MAX_SILENCE_SECONDS
         and now >= instance.suspect_until
         and (
-            instance.is_cleared_for(suspect, now)
+            instance.is_reserved_for(suspect, now)
             or not instance.is_reserved(now)
         )
     )
 
 
-def has_room(task: job_module.Task, instance: instances.Instance) -> bool:
+def has_capacity(task: job_module.Task, instance: instances.Instance) -> bool:
     """Tell whether an instance has capacity for a task."""
     step = task.step
     if step.label and step.label not in instance.labels:
--- a/src/persimmonsail/jobs/placer.py
+++ b/src/persimmonsail/jobs/placer.py
@@ -6,9 +6,9 @@
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
-from persimmonsail.jobs import pace
 from persimmonsail.jobs import placement
 from persimmonsail.jobs import suspects
+from persimmonsail.jobs import throttling
 
 # Above any order number, so no report can acknowledge it.
 _NOT_SENT = 1 << 62
@@ -18,13 +18,13 @@
 class Claim:
     """A placed run that has to be committed and then started.
 
-    ``ticket`` is the advisor's permit if the queue is advised.
+    ``permit`` is the advisor's permit if the queue is advised.
     """
 
     task: job_module.Task
     run: instances.Run
     instance: instances.Instance
-    ticket: str = ''
+    permit: str = ''
 
 
 class Placer:
@@ -81,7 +81,7 @@
     ) -> Claim:
         """Place a suspect and block other starts beside it for a while."""
         claim = self._add_run(task, 1 + task.state.run, instance)
-        suspects.keep_apart(task, claim.run, instance)
+        suspects.isolate(task, claim.run, instance)
         return claim
 
     def _try_place(
@@ -126,14 +126,14 @@
             queue=task.job.queue,
             order=_NOT_SENT,
             ordered_at=self._now,
-            due=self._deadline,
+            due_at=self._deadline,
             suspect=task.is_suspect,
         )
         if task.step.best_effort_cpu:
-            run.pace = pace.choose_initial_percent(
+            run.speed_limit = throttling.choose_initial_percent(
                 run, instance, self._model, self._now
             )
-            run.paced_at = self._now
+            run.speed_limit_at = self._now
         instance.add_run(run)
         self._candidates.update_instance(instance)
         permit = self._permits.get(instance.boot, '')
--- a/src/persimmonsail/jobs/queues.py
+++ b/src/persimmonsail/jobs/queues.py
@@ -87,13 +87,13 @@
     def __init__(self) -> None:
         self.current: Configuration | None = None
         # Queues by name, including removed ones, whose jobs continue.
-        self.seen: dict[str, Queue] = {}
+        self.queues_by_name: dict[str, Queue] = {}
 
-    def remember(self, queue: Queue) -> None:
+    def add(self, queue: Queue) -> None:
         """Add the queue of an accepted job unless it is present."""
-        self.seen.setdefault(queue.name, queue)
+        self.queues_by_name.setdefault(queue.name, queue)
 
-    def offer(self, configuration: Configuration) -> bool:
+    def update(self, configuration: Configuration) -> bool:
         """Apply a configuration unless a newer one is in force.
 
         A delayed answer may carry an old version, which would restore
@@ -103,5 +103,7 @@
         if current is not None and configuration.version <= current.version:
             return False
         self.current = configuration
-        self.seen.update((queue.name, queue) for queue in configuration.queues)
+        self.queues_by_name.update(
+            (queue.name, queue) for queue in configuration.queues
+        )
         return True
--- a/src/persimmonsail/jobs/record.py
+++ b/src/persimmonsail/jobs/record.py
@@ -19,7 +19,7 @@
 PROGRESS = 'progress/'
 LEADER = 'leader'
 HEAD = 'head'
-KNOWLEDGE = 'knowledge'
+LEARNED_STATE = 'knowledge'
 CAPACITIES = 'capacities'
 # Each report names all running tasks; a fleet of the size designed for runs
 # 17,300 tasks at a time.
@@ -76,7 +76,7 @@
         return f'{self.occurrence}.{self.step}.{self.index}'
 
     @property
-    def of_step(self) -> tuple[int, int]:
+    def step_key(self) -> tuple[int, int]:
         """Occurrence and step, shared by all tasks of one step."""
         return self.occurrence, self.step
 
--- a/src/persimmonsail/jobs/regression.py
+++ b/src/persimmonsail/jobs/regression.py
@@ -34,9 +34,9 @@
 # heavy tasks wait beside free capacity; with less, serving tasks suffer
 # interference (emulator, 12 days of known shapes: worth 0.858 with 0.1, 0.880
 # with this, 0.852 with 0.7).
-_BOUND_DEVIATIONS = 0.3
+_UPPER_BOUND_DEVIATIONS = 0.3
 # Standard deviations from a coefficient's mean to its lower bound.
-_LEAST_DEVIATIONS = 0.7
+_LOWER_BOUND_DEVIATIONS = 0.7
 # Minimum deviation of a kind, as a share of its initial one.
 _MIN_DEVIATION_SHARE = 0.5
 # From this coefficient on, nothing can be colocated with the other image;
@@ -138,21 +138,21 @@
             return sum(kind.share * kind.mean for kind in self._kinds)
         return value
 
-    def get_bound(self, name: str) -> float:
+    def get_upper_bound(self, name: str) -> float:
         """Return the probable upper bound of a coefficient.
 
         That is its mean plus part of its standard deviation over all kinds.
         """
         upper_bound = self._upper_bounds.get(name)
         if upper_bound is None:
-            return self._estimate_prior(_BOUND_DEVIATIONS)
+            return self._estimate_prior(_UPPER_BOUND_DEVIATIONS)
         return upper_bound
 
-    def get_least(self, name: str) -> float:
+    def get_lower_bound(self, name: str) -> float:
         """Return the probable lower bound of a coefficient."""
         lower_bound = self._lower_bounds.get(name)
         if lower_bound is None:
-            return max(self._estimate_prior(-_LEAST_DEVIATIONS), 0.0)
+            return max(self._estimate_prior(-_LOWER_BOUND_DEVIATIONS), 0.0)
         return lower_bound
 
     def _estimate_prior(self, deviations: float) -> float:
@@ -266,13 +266,13 @@
         self._posteriors = posteriors
         for name, posterior in posteriors.items():
             upper_bound = (
-                posterior.mean + _BOUND_DEVIATIONS * posterior.deviation
+                posterior.mean + _UPPER_BOUND_DEVIATIONS * posterior.deviation
             )
             self._upper_bounds[name] = min(
                 max(upper_bound, 0.0), _MAX_COEFFICIENT
             )
             lower_bound = (
-                posterior.mean - _LEAST_DEVIATIONS * posterior.deviation
+                posterior.mean - _LOWER_BOUND_DEVIATIONS * posterior.deviation
             )
             self._lower_bounds[name] = min(
                 max(lower_bound, 0.0), _MAX_COEFFICIENT
--- a/src/persimmonsail/jobs/reports.py
+++ b/src/persimmonsail/jobs/reports.py
@@ -8,13 +8,13 @@
 from persimmonsail.jobs import board as board_module
 from persimmonsail.jobs import crashes
 from persimmonsail.jobs import fleet_pb2
+from persimmonsail.jobs import instancehealth
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
 from persimmonsail.jobs import observations
-from persimmonsail.jobs import pace
-from persimmonsail.jobs import soundness
 from persimmonsail.jobs import suspects
+from persimmonsail.jobs import throttling
 from persimmonsail import logs
 
 # A refused start is retried after this time, not in the same round.
@@ -43,14 +43,14 @@
     ----------
     stops : list of persimmonsail.jobs.instances.Run
         Runs that are unwanted, or whose state is uncertain.
-    paces : list of persimmonsail.jobs.pace.Change
+    paces : list of persimmonsail.jobs.throttling.Change
         New speed limits of best-effort runs.
     replan : bool
         Whether work may be placed now that could not be before.
     """
 
     stops: list[instances.Run] = dataclasses.field(default_factory=list)
-    paces: list[pace.Change] = dataclasses.field(default_factory=list)
+    paces: list[throttling.Change] = dataclasses.field(default_factory=list)
     replan: bool = False
 
 
@@ -84,7 +84,7 @@
     ) -> None:
         self._approvals = approvals
         self._board = board
-        self._health = soundness.Soundness(tracker)
+        self._health = instancehealth.HealthTracker(tracker)
         self._model = model
         self._get_attempts = get_attempts
         self._crashes = crashes.Tracker(board, list_fleet)
@@ -105,7 +105,7 @@
         for crash in report.crashes:
             self._crashes.note(instance, crash, now)
         self._abandon_ended_boots(instance, report, reaction)
-        instance.known = bool(report.boot)
+        instance.has_agent = bool(report.boot)
         instance.silent_seconds = report.silent_seconds
         instance.answered_at = now - report.silent_seconds
         if not report.boot:
@@ -115,11 +115,11 @@
             reaction.replan = True
         if not report.looked:
             return reaction
-        instance.reported = True
+        instance.has_reported = True
         # Before anything that abandons runs: an end that a sidecar has read
         # is certain, whatever has happened to its worker's agent since.
         for ended in report.ended:
-            if ended.number > instance.processed:
+            if ended.number > instance.processed_end:
                 self._handle_end(instance, ended, now)
                 reaction.replan = True
         if report.lapsed:
@@ -141,26 +141,26 @@
             self._handle_barred(instance, barred, now)
             reaction.replan = True
         self._stop_absent(instance, report, pending, reaction)
-        soundness.note_progress(instance, now)
+        instancehealth.note_progress(instance, now)
         self._model.learn(instance, now)
-        reaction.paces = pace.decide(instance, self._model, now)
+        reaction.paces = throttling.choose_changes(instance, self._model, now)
         return reaction
 
-    def pop_broken(self) -> list[job_module.Task]:
+    def pop_broken_gang_tasks(self) -> list[job_module.Task]:
         """Return the tasks that broke their gang since the last call."""
-        broken = self._board.broken
-        self._board.broken = []
+        broken = self._board.broken_gang_tasks
+        self._board.broken_gang_tasks = []
         return broken
 
-    def pop_recalled(self) -> list[job_module.Task]:
+    def pop_superseded_tasks(self) -> list[job_module.Task]:
         """Return the tasks whose run became unneeded since the last call."""
-        recalled = self._board.recalled
-        self._board.recalled = []
+        recalled = self._board.superseded_tasks
+        self._board.superseded_tasks = []
         return recalled
 
-    def is_last(self, run: instances.Run) -> bool:
+    def is_last_placed(self, run: instances.Run) -> bool:
         """Return whether no other task of a run's job is placed."""
-        task = self._board.find(run.task)
+        task = self._board.find_task(run.task)
         return task is not None and task.job.placed_count <= 1
 
     def abandon_runs(self, instance: instances.Instance, reason: str) -> None:
@@ -173,7 +173,7 @@
     ) -> None:
         """Return a task with a claimed but never ordered run to waiting."""
         instance.drop_run((run.task, run.number))
-        task = self._board.find(run.task)
+        task = self._board.find_task(run.task)
         if task is not None:
             self._end_run(task, run.number, board_module.End.NOT_STARTED, '')
 
@@ -181,7 +181,7 @@
         self, instance: instances.Instance, run: instances.Run, reason: str
     ) -> None:
         instance.drop_run((run.task, run.number))
-        task = self._board.find(run.task)
+        task = self._board.find_task(run.task)
         logs.write_event(
             'run-lost',
             task=run.task,
@@ -232,7 +232,7 @@
             before=instance.boot,
         )
         instance.boot = report.boot
-        instance.processed = 0
+        instance.processed_end = 0
         instance.committed_end = 0
         instance.acknowledged = 0
         instance.suspect_until = 0.0
@@ -244,15 +244,15 @@
         ended: fleet_pb2.Ended,
         now: float,
     ) -> None:
-        instance.processed = ended.number
+        instance.processed_end = ended.number
         run = instance.drop_run((ended.task, ended.run))
-        task = self._board.find(ended.task)
+        task = self._board.find_task(ended.task)
         end = _parse_end(ended)
         accepted = False
         if task is not None:
             accepted = self._end_run(task, ended.run, end, ended.checkpoint)
             if not accepted and end is board_module.End.DONE:
-                accepted = self._board.note_late_done(task, ended.run)
+                accepted = self._board.accept_late_completion(task, ended.run)
         logs.write_event(
             'run-ended',
             task=ended.task,
@@ -261,7 +261,7 @@
             instance=instance.address,
             boot=instance.boot,
             number=ended.number,
-            seconds=now - run.seen_at if run and run.seen_at else -1,
+            seconds=now - run.observed_at if run and run.observed_at else -1,
             used=accepted,
         )
         if run is not None and end is board_module.End.DONE:
@@ -271,10 +271,10 @@
             self._health.note_end(instance, task.job.id, failed, now)
 
     def _update_slowdown(self, run: instances.Run, now: float) -> None:
-        if not run.seen_at or not run.step.estimate_ms:
+        if not run.observed_at or not run.step.estimate_ms:
             return
         seconds = run.step.estimate_ms / _MILLISECONDS
-        ratio = min(max((now - run.seen_at) / seconds, 1.0), _MAX_SLOWDOWN)
+        ratio = min(max((now - run.observed_at) / seconds, 1.0), _MAX_SLOWDOWN)
         average = self.slowdowns.get(run.queue, ratio)
         self.slowdowns[run.queue] = average + _SLOWDOWN_SMOOTHING * (
             ratio - average
@@ -287,7 +287,7 @@
         now: float,
     ) -> instances.Run | None:
         """Apply a running row; return its run if it is unwanted."""
-        task = self._board.find(row.task)
+        task = self._board.find_task(row.task)
         run = instance.runs.get((row.task, row.run))
         if run is None:
             run = observations.adopt(instance, row, task, now)
@@ -296,7 +296,7 @@
             return run
         task.refusals = 0
         answered_at = instance.answered_at
-        suspects.note_running(self._board, task, run, answered_at)
+        suspects.clear_if_outlived(self._board, task, run, answered_at)
         if row.checkpoint:
             self._board.note_checkpoint(task, row.checkpoint)
         stopping = run.phase is instances.RunPhase.STOPPING
@@ -311,7 +311,7 @@
             run = instance.runs.get(key)
             if run is None or run.phase is instances.RunPhase.STOPPING:
                 continue
-            task = self._board.find(run.task)
+            task = self._board.find_task(run.task)
             if not observations.is_wanted(task, run, instance):
                 unwanted.append(run)
         return unwanted
@@ -323,11 +323,11 @@
         now: float,
     ) -> None:
         instance.drop_run((barred.task, barred.run))
-        task = self._board.find(barred.task)
+        task = self._board.find_task(barred.task)
         if task is None:
             return
         if barred.reason == _PERMIT_REFUSED:
-            self._approvals.drop_ticket(task.step_name, instance.boot)
+            self._approvals.drop_permit(task.step_name, instance.boot)
         end = board_module.End.NOT_STARTED
         accepted = self._end_run(task, barred.run, end, '')
         task.refusals += 1
--- a/src/persimmonsail/jobs/scheduling.py
+++ b/src/persimmonsail/jobs/scheduling.py
@@ -6,6 +6,7 @@
 
 from persimmonsail.jobs import advice
 from persimmonsail.jobs import board as board_module
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import gangs
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
@@ -13,7 +14,6 @@
 from persimmonsail.jobs import order
 from persimmonsail.jobs import placement
 from persimmonsail.jobs import placer as placer_module
-from persimmonsail.jobs import places as places_module
 from persimmonsail.jobs import queues
 from persimmonsail.jobs import suspects
 from persimmonsail import logs
@@ -23,7 +23,7 @@
 # if it interferes with all serving tasks, it would otherwise wait forever,
 # and a job idle for 3 s despite free capacity counts as lost. Most jobs find
 # a better placement sooner.
-_IDLE_SECONDS = 2.0
+_IDLE_TIMEOUT_SECONDS = 2.0
 # Maximum interval between rounds; some conditions change only with time.
 ROUND_SECONDS = 0.25
 # Interval between round starts when a slow store's commit takes as long as
@@ -35,7 +35,7 @@
 # A round ends after this many claims, the most urgent ones, which are
 # committed and started before the next round. A claim takes 0.25 ms, so a
 # round delays callers and lease renewals by at most 25 ms.
-MOST_CLAIMS = 100
+MAX_CLAIMS = 100
 # The minimum pause lets simultaneous ends share a commit. The factor, relative
 # to the round's duration, limits placement to a fifth of the processor on a
 # large fleet, where runs end continuously.
@@ -51,7 +51,7 @@
 
 def plan(
     board: board_module.Board,
-    places: places_module.Places,
+    snapshot: fleetsnapshot.FleetSnapshot,
     fleet: t.Iterable[instances.Instance],
     queues_by_name: t.Mapping[str, queues.Queue],
     slowdowns: t.Mapping[str, float],
@@ -67,7 +67,7 @@
     ----------
     board : persimmonsail.jobs.board.Board
         The jobs; claimed tasks are marked as placed.
-    places : persimmonsail.jobs.places.Places
+    snapshot : persimmonsail.jobs.fleetsnapshot.FleetSnapshot
         The fleet snapshot, shared by all rounds of a leader.
     fleet : iterable of persimmonsail.jobs.instances.Instance
         The instances; claimed runs are added to them.
@@ -87,19 +87,19 @@
     round_interval : float, optional
         Seconds since the previous round began.
     """
-    suspects.give_up_spent(board, now)
+    suspects.fail_exhausted(board, now)
     approvals.begin_round()
-    places.refresh(fleet, model, now)
+    snapshot.refresh(fleet, model, now)
     idle_timeout = _choose_idle_timeout(round_interval)
     current_round = _Round(
-        board, places, model, approvals, now, wall_seconds, idle_timeout
+        board, snapshot, model, approvals, now, wall_seconds, idle_timeout
     )
     claims = []
     for task, queue in _sort(
         board, queues_by_name, slowdowns, now, wall_seconds
     ):
         claims += current_round.place(task, queue)
-        if len(claims) >= MOST_CLAIMS:
+        if len(claims) >= MAX_CLAIMS:
             break
     return claims
 
@@ -126,7 +126,7 @@
 def _choose_idle_timeout(round_interval: float) -> float:
     """Return for how many seconds an idle job waits for full speed."""
     delay = max(round_interval - _USUAL_ROUND_INTERVAL_SECONDS, 0.0)
-    return max(_IDLE_SECONDS - _DELAYS_PER_RESTART * delay, 0.0)
+    return max(_IDLE_TIMEOUT_SECONDS - _DELAYS_PER_RESTART * delay, 0.0)
 
 
 def _measure_idle_seconds(job: job_module.Job, now: float) -> float:
@@ -156,14 +156,14 @@
         for task in job.waiting.values():
             if task.not_before > now or task.due_ms > wall_ms:
                 continue
-            step = task.key.of_step
+            step = task.key.step_key
             if step not in keys:
                 keys[step] = order.rate(
                     task, queue, wall_ms, slowdown, mean_works[job.queue]
                 ).sort_key
             # Suspects first: they need an instance with no other starts,
             # which only a few of them get at a time.
-            not_tried_next = not suspects.is_tried_next(task)
+            not_tried_next = not suspects.is_isolation_due(task)
             ranked.append(((not_tried_next, keys[step]), task, queue))
     ranked.sort(key=lambda row: row[0])
     return [(task, queue) for _, task, queue in ranked]
@@ -175,7 +175,7 @@
     def __init__(
         self,
         board: board_module.Board,
-        places: places_module.Places,
+        snapshot: fleetsnapshot.FleetSnapshot,
         model: interference.Model,
         approvals: advice.Approvals,
         now: float,
@@ -184,7 +184,7 @@
     ) -> None:
         self._idle_timeout = idle_timeout
         self._board = board
-        self._places = places
+        self._snapshot = snapshot
         self._model = model
         self._approvals = approvals
         self._now = now
@@ -205,20 +205,20 @@
         self, task: job_module.Task, queue: queues.Queue
     ) -> list[placer_module.Claim]:
         """Claim capacity for a task, or for its complete gang."""
-        step = (task.job.id, task.key.of_step)
+        step = (task.job.id, task.key.step_key)
         if step in self._unplaceable_steps:
             return []
         idle = _measure_idle_seconds(task.job, self._now) > self._idle_timeout
         if queue.service in self._reserved_services and not idle:
             return []
         members = gangs.list_members(task, self._now)
-        if suspects.needs_apart(task, self._now):
+        if suspects.needs_isolation(task, self._now):
             return self._place_isolated(task, queue)
         if self._placer_step != step:
             usable = self._find_usable(queue.service)
             self._placer = self._make_placer(task, queue, usable)
             self._placer_step = step
-        min_speed = 0.0 if idle else placement.LEAST_SPEED
+        min_speed = 0.0 if idle else placement.MIN_SPEED
         claims = self._placer.place(members, min_speed)
         if not claims:
             self._unplaceable_steps.add(step)
@@ -228,15 +228,15 @@
 
     def _commit_all(self, claims: t.Iterable[placer_module.Claim]) -> None:
         for claim in claims:
-            row = self._places.find_row(claim.instance)
-            claim.task.apart_since = 0.0
-            _commit(self._board, claim, self._places.unused[row])
+            row = self._snapshot.find_row(claim.instance)
+            claim.task.isolation_wait_since = 0.0
+            _commit(self._board, claim, self._snapshot.unused[row])
 
     def _place_isolated(
         self, task: job_module.Task, queue: queues.Queue
     ) -> list[placer_module.Claim]:
         """Place a suspect so that its next crash can be attributed to it."""
-        fleet = self._places.fleet
+        fleet = self._snapshot.fleet
         cleared = placement.find_cleared(fleet, task.name, self._now)
         usable = self._find_usable(queue.service)
         allowed = usable
@@ -251,11 +251,11 @@
             _restart_wait(task)
             return []
         # Later placements of this round go elsewhere.
-        usable[self._places.find_row(instance)] = False
+        usable[self._snapshot.find_row(instance)] = False
         self._placer_step = None
-        if not suspects.is_quiet(instance, self._now):
+        if not suspects.has_no_recent_start(instance, self._now):
             if cleared is None:
-                suspects.clear_instance(task, instance, self._now)
+                suspects.reserve_instance(task, instance, self._now)
             return []
         claim = placer.place_isolated(task, instance)
         self._commit_all([claim])
@@ -264,7 +264,7 @@
     def _may_reserve(self, usable: numpy.ndarray, service: str) -> bool:
         reserved = sum(
             one.service == service and one.is_reserved(self._now)
-            for one in self._places.fleet
+            for one in self._snapshot.fleet
         )
         return suspects.may_reserve(int(usable.sum()), reserved)
 
@@ -275,12 +275,12 @@
         usable: numpy.ndarray,
     ) -> placer_module.Placer:
         objective_ms = order.find_objective_ms(task.job, queue)
-        remaining_ms = objective_ms - (self._wall_ms - task.since_ms)
+        remaining_ms = objective_ms - (self._wall_ms - task.objective_start_ms)
         permits = None
         if queue.advised:
-            permits = self._approvals.find_tickets(task.step_name, self._now)
+            permits = self._approvals.find_permits(task.step_name, self._now)
         candidates = placement.Candidates(
-            self._places,
+            self._snapshot,
             task.step,
             task.step_name,
             usable,
@@ -294,7 +294,7 @@
     def _find_usable(self, service: str) -> numpy.ndarray:
         if service not in self._usable:
             self._usable[service] = placement.find_usable(
-                self._places.fleet, service, self._now
+                self._snapshot.fleet, service, self._now
             )
         return self._usable[service]
 
@@ -305,16 +305,16 @@
         queue: queues.Queue,
     ) -> None:
         service = queue.service
-        fleet = self._places.fleet
+        fleet = self._snapshot.fleet
         if queue.advised:
-            self._approvals.want(task, fleet, service, self._now)
+            self._approvals.request(task, fleet, service, self._now)
         if gangs.needs_reservation(members, fleet, service, self._now):
             self._reserved_services.add(service)
 
 
 def _restart_wait(task: job_module.Task) -> None:
     """Restart a suspect's waiting time while it cannot be tried."""
-    task.apart_since = 0.0
+    task.isolation_wait_since = 0.0
 
 
 def _commit(
@@ -329,7 +329,7 @@
         instance.address,
         instance.boot,
         run.number,
-        apart=run.apart_seconds > 0,
+        isolated=run.isolation_seconds > 0,
     )
     logs.write_event(
         'placed',
@@ -340,10 +340,10 @@
         free_mib=instance.free.memory_mib,
         unused_millicores=round(unused_millicores),
         serving=len(instance.serving),
-        percent=run.pace,
+        percent=run.speed_limit,
         resumes=bool(claim.task.state.checkpoint),
         gang=claim.task.step.gang,
-        advised=bool(claim.ticket),
+        advised=bool(claim.permit),
         crashes=claim.task.state.crashes.count,
-        apart=run.apart_seconds > 0,
+        apart=run.isolation_seconds > 0,
     )
--- a/src/persimmonsail/jobs/suspects.py
+++ b/src/persimmonsail/jobs/suspects.py
@@ -93,9 +93,9 @@
     return _START_DELAY_SECONDS if seconds <= RECENT_START_SECONDS else 0.0
 
 
-def give_up_spent(board: board_module.Board, now: float) -> None:
+def fail_exhausted(board: board_module.Board, now: float) -> None:
     """Fail the jobs of tasks that keep crashing the agents they start on."""
-    for task in list(board.suspects.values()):
+    for task in list(board.crash_suspects.values()):
         if task.key not in task.job.waiting or task.not_before > now:
             continue
         if not is_exhausted(task):
@@ -111,10 +111,10 @@
             proofs=crashes.proofs,
             longest_ms=crashes.longest_ms,
         )
-        board.give_up(task, reason)
+        board.fail_job(task, reason)
 
 
-def is_tried_next(task: job_module.Task) -> bool:
+def is_isolation_due(task: job_module.Task) -> bool:
     """Return whether a task is to be started in isolation.
 
     The members of a gang begin simultaneously, so that none of them can be
@@ -124,16 +124,16 @@
     return task.is_suspect and not is_exempt
 
 
-def needs_apart(task: job_module.Task, now: float) -> bool:
+def needs_isolation(task: job_module.Task, now: float) -> bool:
     """Return whether a suspect must start in isolation or wait for it."""
-    if not is_tried_next(task):
+    if not is_isolation_due(task):
         return False
-    task.apart_since = task.apart_since or now
+    task.isolation_wait_since = task.isolation_wait_since or now
     total = task.state.crashes.total
     timeout = _ISOLATION_TIMEOUT_SECONDS.get(
         total, _MAX_ISOLATION_TIMEOUT_SECONDS
     )
-    return now - task.apart_since <= timeout
+    return now - task.isolation_wait_since <= timeout
 
 
 def _find_clear_seconds(task: job_module.Task) -> float:
@@ -169,36 +169,36 @@
     return reserved < max_reserved
 
 
-def keep_apart(
+def isolate(
     task: job_module.Task, run: instances.Run, instance: instances.Instance
 ) -> None:
     """Start no other run beside a suspect's run for a while."""
-    run.apart_seconds = _find_isolation_seconds(task)
-    instance.apart = run
-    instance.cleared_until = 0.0
+    run.isolation_seconds = _find_isolation_seconds(task)
+    instance.isolated_run = run
+    instance.reserved_until = 0.0
 
 
-def is_quiet(instance: instances.Instance, now: float) -> bool:
+def has_no_recent_start(instance: instances.Instance, now: float) -> bool:
     """Return whether nothing else has begun there recently."""
-    return instance.measure_quiet(now) > _MIN_QUIET_SECONDS
+    return instance.measure_seconds_since_start(now) > _MIN_QUIET_SECONDS
 
 
-def clear_instance(
+def reserve_instance(
     task: job_module.Task, instance: instances.Instance, now: float
 ) -> None:
     """Start no other run on an instance until a suspect is tried there."""
-    instance.cleared_for = task.name
-    instance.cleared_until = now + _MAX_RESERVATION_SECONDS
+    instance.reserved_for = task.name
+    instance.reserved_until = now + _MAX_RESERVATION_SECONDS
     logs.write_event(
         'instance-cleared',
         instance=instance.address,
         task=task.name,
         crashes=task.state.crashes.count,
-        quiet_seconds=instance.measure_quiet(now),
+        quiet_seconds=instance.measure_seconds_since_start(now),
     )
 
 
-def note_running(
+def clear_if_outlived(
     board: board_module.Board,
     task: job_module.Task,
     run: instances.Run,
@@ -212,7 +212,7 @@
     """
     if not task.state.crashes.total:
         return
-    seconds = answered_at - run.seen_at
+    seconds = answered_at - run.observed_at
     if seconds <= _find_clear_seconds(task):
         return
     if task.is_suspect:
@@ -221,4 +221,4 @@
             'crash-cleared', task=run.task, run=run.number, seconds=seconds
         )
     crashes = record.Crashes(run=task.state.crashes.run)
-    board.note_crashes(task, crashes)
+    board.update_crashes(task, crashes)
--- a/src/persimmonsail/jobs/pace.py
+++ b/src/persimmonsail/jobs/throttling.py
@@ -29,9 +29,9 @@
 _MIN_PERCENT = 4
 # Floor for runs that hardly interfere, which do most of the work (with 10,
 # 0.34 of the heavy jobs were on time instead of 0.83).
-_LIGHT_PERCENT = 40
+_MIN_LIGHT_PERCENT = 40
 # A limit rises by at most this factor, or from 0 to this percentage.
-_FASTEST_RISE = 3.0
+_MAX_RISE_FACTOR = 3.0
 _INITIAL_RISE_PERCENT = 15
 
 
@@ -45,7 +45,7 @@
     percent: int
 
 
-def decide(
+def choose_changes(
     instance: instances.Instance, model: interference.Model, now: float
 ) -> list[Change]:
     """Return the changed speed limits of an instance's runs.
@@ -61,18 +61,20 @@
     """
     best_effort = [
         run
-        for run in instance.fillers
+        for run in instance.best_effort_runs
         if run.phase is instances.RunPhase.RUNNING
     ]
     if not best_effort:
         return []
-    limits = _allocate(best_effort, instance, model, now, model.get_least)
+    limits = _allocate(
+        best_effort, instance, model, now, model.get_lower_bound
+    )
     changes = []
     for run, allowed in zip(best_effort, limits, strict=True):
-        if now - run.paced_at < _MIN_CHANGE_INTERVAL_SECONDS:
+        if now - run.speed_limit_at < _MIN_CHANGE_INTERVAL_SECONDS:
             continue
-        percent = _limit_rise(run.pace, allowed)
-        if _is_significant(run.pace, percent):
+        percent = _limit_rise(run.speed_limit, allowed)
+        if _is_significant(run.speed_limit, percent):
             changes.append(Change(run, percent))
     return changes
 
@@ -84,8 +86,10 @@
     now: float,
 ) -> int:
     """Return the speed limit with which a run starts."""
-    best_effort = [*instance.fillers, run]
-    safe_limits = _allocate(best_effort, instance, model, now, model.get_bound)
+    best_effort = [*instance.best_effort_runs, run]
+    safe_limits = _allocate(
+        best_effort, instance, model, now, model.get_upper_bound
+    )
     return round(safe_limits[-1])
 
 
@@ -123,7 +127,7 @@
                 continue
             share = min(remaining / demands[i], 1.0) if demands[i] else 1.0
             # After a missed target nothing is tolerable, whatever was learned.
-            ceiling = 0.0 if serving.over_since else 100.0
+            ceiling = 0.0 if serving.over_target_since else 100.0
             limits[i] = min(limits[i], 100 * share, ceiling)
             remaining -= share * demands[i]
     return limits
@@ -157,16 +161,16 @@
         The headroom left for the other runs; never below 0.
     """
     total = sum(demands[i] for i in light)
-    tolerable = headroom + model.estimate_doubt()
+    tolerable = headroom + model.estimate_uncertainty()
     if total > tolerable:
-        percent = max(100 * tolerable / total, _LIGHT_PERCENT)
+        percent = max(100 * tolerable / total, _MIN_LIGHT_PERCENT)
         for i in light:
             limits[i] = min(limits[i], percent)
     return max(headroom - total, 0.0)
 
 
 def _order_by_deadline(run: instances.Run, now: float) -> tuple[bool, float]:
-    return (run.due < now, run.due)
+    return (run.due_at < now, run.due_at)
 
 
 def _measure_headroom(
@@ -176,7 +180,7 @@
     now: float,
 ) -> float:
     load = model.estimate_load(serving, address, now)
-    limit = model.estimate_limit() - model.estimate_doubt()
+    limit = model.estimate_limit() - model.estimate_uncertainty()
     return max(limit - load, 0.0)
 
 
@@ -209,10 +213,12 @@
     runs are considered responsible.
     """
     image = serving.step.image
-    over_seconds = now - serving.over_since if serving.over_since else 0.0
+    over_seconds = (
+        now - serving.over_target_since if serving.over_target_since else 0.0
+    )
     # While the target is met, uncertainty alone throttles no run.
-    missed = bool(serving.over_since)
-    estimate = model.get_bound if missed else get_coefficient
+    missed = bool(serving.over_target_since)
+    estimate = model.get_upper_bound if missed else get_coefficient
     known = {
         i
         for i, run in enumerate(best_effort)
@@ -225,7 +231,7 @@
 
 
 def _limit_rise(current: int, allowed: float) -> int:
-    max_percent = max(current * _FASTEST_RISE, _INITIAL_RISE_PERCENT)
+    max_percent = max(current * _MAX_RISE_FACTOR, _INITIAL_RISE_PERCENT)
     percent = round(min(allowed, max_percent))
     return percent if percent >= _MIN_PERCENT else 0
 
--- a/src/persimmonsail/jobs/worker.py
+++ b/src/persimmonsail/jobs/worker.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Look:
+class Snapshot:
     """A snapshot of the agent; ``clock_ms`` is its monotonic clock."""
 
     clock_ms: int
@@ -102,20 +102,20 @@
         """Stop a run, or bar a later start of it if it is absent."""
 
     @abc.abstractmethod
-    async def set_pace(
+    async def set_speed_limit(
         self, boot: str, epoch: int, task: str, run: int, percent: int
     ) -> None:
         """Set the speed limit of a run."""
 
     @abc.abstractmethod
-    async def look(
+    async def poll(
         self,
         boot: str,
         epoch: int,
         acknowledged: int,
         until_ms: int | None = None,
         wait_seconds: float = 0.0,
-    ) -> Look:
+    ) -> Snapshot:
         """Return the running and ended runs.
 
         Parameters
--- a/src/persimmonsail/partitioning/dispatch.py
+++ b/src/persimmonsail/partitioning/dispatch.py
@@ -48,7 +48,7 @@
             time.monotonic,
         )
         self._planner = planner_module.Planner(
-            holding.fleet, holding.knowledge, self._placer.choose_task
+            holding.fleet, holding.learned_state, self._placer.choose_task
         )
         self._backoff = backoff.Backoff(random.Random(holding.partition))
         self._starting: set[str] = set()
@@ -122,7 +122,7 @@
         return pending
 
     def _log_waiting(self) -> None:
-        waiting = self._planner.waiting
+        waiting = self._planner.wait_reasons
         for task, reason in waiting.items():
             if self._told.get(task) != reason:
                 logs.write_event('waiting', task=task, reason=reason)
@@ -222,7 +222,7 @@
             canary=step.canary,
             suspect=step.suspect,
         )
-        self._holding.knowledge.note_start(task.id, time.monotonic())
+        self._holding.learned_state.note_start(task.id, time.monotonic())
         try:
             reply = await self._holding.links.call(
                 chosen.address,
--- a/src/persimmonsail/partitioning/holding.py
+++ b/src/persimmonsail/partitioning/holding.py
@@ -54,7 +54,7 @@
     fence: consents.Fence
     owned: Owned
     lease_seconds: float
-    knowledge: planner_module.Knowledge
+    learned_state: planner_module.LearnedState
     intake: intake_module.Intake
 
     @property
--- a/src/persimmonsail/platform/configuration.py
+++ b/src/persimmonsail/platform/configuration.py
@@ -166,7 +166,7 @@
                 'configuration-unreadable', revision=revision, error=error
             )
             return
-        if self._view.offer(configuration):
+        if self._view.update(configuration):
             logs.write_event(
                 'configuration',
                 version=configuration.version,
--- a/src/persimmonsail/platform/entry.py
+++ b/src/persimmonsail/platform/entry.py
@@ -85,7 +85,7 @@
             self._store,
             self._links,
             lambda: self._candidate.leader,
-            self._get_own,
+            self._get_local_leader,
             self._capacities,
             self._advisor is not None,
         )
@@ -97,7 +97,9 @@
         control = addresses.name_of(sock)
         server = grpclib.server.Server(
             [
-                leaderservice.LeaderService(self._intake, self._get_own),
+                leaderservice.LeaderService(
+                    self._intake, self._get_local_leader
+                ),
                 health_service.Health(),
             ]
         )
@@ -118,7 +120,7 @@
             if not self._candidate.is_small:
                 group.start_soon(anyio.to_thread.run_sync, _import_leader)
             group.start_soon(
-                capacities.keep_reading, self._store, self._capacities
+                capacities.run_read_loop, self._store, self._capacities
             )
             leading = anyio.CancelScope()
             left = anyio.Event()
@@ -147,7 +149,7 @@
                     anyio.current_time() + left_seconds - _ANSWER_SECONDS
                 )
                 if self._own is not None:
-                    await self._own.save_knowledge()
+                    await self._own.save_learned_state()
                 leading.cancel()
                 with anyio.move_on_after(_NOTICE_SECONDS):
                     await left.wait()
@@ -173,7 +175,7 @@
         )
         logs.write_event('api-listening', http=server.address)
 
-    def _get_own(self) -> 'leader_module.Leader | None':
+    def _get_local_leader(self) -> 'leader_module.Leader | None':
         return self._own
 
     def _is_ready(self) -> bool:
--- a/src/persimmonsail/platform/runner.py
+++ b/src/persimmonsail/platform/runner.py
@@ -39,8 +39,8 @@
     # Rows of number, task, run, how it ended, and checkpoint.
     finished: tuple[tuple[int, str, int, str, str], ...] = ()
 
-    def to_look(self) -> worker.Look:
-        return worker.Look(
+    def to_snapshot(self) -> worker.Snapshot:
+        return worker.Snapshot(
             self.clock_ms,
             tuple(_read_running(row) for row in self.running),
             tuple(worker.EndedRow(*row) for row in self.finished),
@@ -91,7 +91,7 @@
         body = {'task': task, 'run': run, 'fencingToken': epoch}
         await self._call('run-stop', boot, body)
 
-    async def set_pace(
+    async def set_speed_limit(
         self, boot: str, epoch: int, task: str, run: int, percent: int
     ) -> None:
         """See ``Worker.set_pace``."""
@@ -103,14 +103,14 @@
         }
         await self._call('pace', boot, body)
 
-    async def look(
+    async def poll(
         self,
         boot: str,
         epoch: int,
         acknowledged: int,
         until_ms: int | None = None,
         wait_seconds: float = 0.0,
-    ) -> worker.Look:
+    ) -> worker.Snapshot:
         """See ``Worker.look``."""
         body = {'fencingToken': epoch, 'acked': acknowledged}
         if until_ms is not None:
@@ -120,7 +120,7 @@
             body['waitMs'] = round(wait * _MILLISECONDS)
         answer = await self._call('hold', boot, body, _ORDER_SECONDS + wait)
         try:
-            return _read(_Held, answer).to_look()
+            return _read(_Held, answer).to_snapshot()
         except (ValueError, TypeError) as error:
             # A look with a row left out would tell that its run is gone.
             raise exceptions.WorkerUnavailable(
--- a/src/persimmonsail/platform/sidecar.py
+++ b/src/persimmonsail/platform/sidecar.py
@@ -75,7 +75,7 @@
         ).model_dump_json()
         registered = False
         while True:
-            silent = clock.read() - self._agent.attached_at
+            silent = clock.read() - self._agent.last_orders_at
             if not registered or silent > _UNATTACHED_SECONDS:
                 try:
                     item = await self._store.get(key)
--- a/src/persimmonsail/sidecars/execution.py
+++ b/src/persimmonsail/sidecars/execution.py
@@ -109,11 +109,11 @@
         self, request: control_pb2.ExecuteRequest, reason: str
     ) -> control_pb2.ExecuteReply:
         reply = self._attempts.bar(request.attempt, request.issued_ms, reason)
-        reply.retry_after_seconds = self._suggest_return()
+        reply.retry_after_seconds = self._suggest_retry_delay()
         return reply
 
-    def _suggest_return(self) -> float:
-        return self._backlog.suggest_return(
+    def _suggest_retry_delay(self) -> float:
+        return self._backlog.suggest_retry_delay(
             self._own.busy_slots, self._own.queued
         )
 
@@ -248,7 +248,7 @@
         return control_pb2.ExecuteReply(
             verdict=control_pb2.NOT_RUN,
             reason=reason,
-            retry_after_seconds=self._suggest_return(),
+            retry_after_seconds=self._suggest_retry_delay(),
         )
 
     def _announce(self) -> None:
--- a/src/persimmonsail/sidecars/workers.py
+++ b/src/persimmonsail/sidecars/workers.py
@@ -151,7 +151,7 @@
                 report['sequence'],
                 report['begin'] - self._offset,
                 report['end'] - self._offset,
-                tuple(usage.TaskUse(**use) for use in report['tasks']),
+                tuple(usage.TaskUsage(**use) for use in report['tasks']),
             )
             for report in found['reports']
         ]
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -42,7 +42,7 @@
 
     def test_tasks_leave_headroom_that_quick_requests_may_use(self):
         """Quick requests must not wait for batch work to release cores."""
-        limit = admission.leave_headroom(CAPACITY)
+        limit = admission.subtract_headroom(CAPACITY)
         self.assertFalse(
             self.commitments.try_commit(
                 'task', admission.Size(15.0, 1.0, 0), limit
--- a/tests/decisions/test_intake.py
+++ b/tests/decisions/test_intake.py
@@ -39,7 +39,7 @@
     def setUp(self):
         super().setUp()
         self.fleet = fleet.Fleet(3600.0)
-        self.learned = planner.Knowledge()
+        self.learned = planner.LearnedState()
         self.intake = intake.Intake(self.fleet, self.learned, random.Random(1))
         self.fleet.note_report(
             control_pb2.SidecarReport(
@@ -95,7 +95,7 @@
 
     def test_impossible_task_is_rejected_once_membership_settled(self):
         self.check('1', 'huge')
-        rejection = self.reject('1', 'huge', planner.SETTLING)
+        rejection = self.reject('1', 'huge', planner.SETTLING_SECONDS)
         self.assertEqual(422, rejection.status)
         self.assertEqual('fits no known instance', str(rejection))
         self.assertEqual(0, rejection.retry_after)
--- a/tests/decisions/test_ladder.py
+++ b/tests/decisions/test_ladder.py
@@ -45,7 +45,7 @@
         for second in range(seconds):
             self.now += 1.0
             load = demand(second) if demand else {'check': 0.5}
-            situation = ladder.Situation(
+            situation = ladder.InstanceSnapshot(
                 'one', tuple(running.values()), load, waiting=waiting
             )
             action = self.ladder.decide(situation, lambda task: relief)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -20,7 +20,7 @@
     def choose(self, candidates, workload='build', **need):
         size = admission.Size(8.0, 20.0)
         return self.placer.choose(
-            candidates, placement.Need(workload, size, **need)
+            candidates, placement.Requirement(workload, size, **need)
         )
 
     def test_noisy_task_is_placed_where_demand_is_low(self):
--- a/tests/decisions/test_planner.py
+++ b/tests/decisions/test_planner.py
@@ -71,8 +71,8 @@
     def setUp(self):
         super().setUp()
         self.fleet = make_fleet()
-        self.knowledge = planner.Knowledge()
-        self.planner = planner.Planner(self.fleet, self.knowledge, choose)
+        self.learned_state = planner.LearnedState()
+        self.planner = planner.Planner(self.fleet, self.learned_state, choose)
 
     def plan(self, pending: list[tasks.Task], now: float = 0.0) -> list[t.Any]:
         return list(self.planner.plan(pending, CATALOGUE, now))
@@ -83,13 +83,13 @@
         pending = [make_task() for _ in range(60)]
         steps = self.plan(pending)
         self.assertEqual(50, len(steps))
-        self.assertEqual({'quota'}, set(self.planner.waiting.values()))
+        self.assertEqual({'quota'}, set(self.planner.wait_reasons.values()))
 
     def test_a_round_limits_unproved_starts_on_each_instance(self):
         """A broken instance must get few tasks before it is detected."""
         steps = self.plan([make_task('check-up') for _ in range(60)])
         self.assertEqual(33, len(steps))
-        self.assertEqual(27, len(self.planner.waiting))
+        self.assertEqual(27, len(self.planner.wait_reasons))
         for instance in self.fleet.list_all():
             self.assertEqual(3, instance.unproved)
 
@@ -98,7 +98,7 @@
         failing.failures = 3
         steps = self.plan([make_task('check-up') for _ in range(40)])
         self.assertNotIn('instance-04', {s.instance.name for s in steps})
-        canary_at = quarantine.CANARY_DELAY
+        canary_at = quarantine.CANARY_DELAY_SECONDS
         [step] = self.plan([make_task('check-up')], canary_at)
         self.assertEqual('instance-04', step.instance.name)
         self.assertTrue(step.canary)
@@ -106,7 +106,7 @@
     def test_a_task_that_runs_at_most_once_is_no_canary(self):
         self.fleet.find('instance-04').failures = 3
         self.plan([make_task()])
-        canary_at = quarantine.CANARY_DELAY
+        canary_at = quarantine.CANARY_DELAY_SECONDS
         for step in self.plan([make_task() for _ in range(30)], canary_at):
             self.assertNotEqual('instance-04', step.instance.name)
 
@@ -118,23 +118,25 @@
         """
         task = make_task('huge')
         self.assertEqual([], self.plan([task], 0.0))
-        [step] = self.plan([task], planner.SETTLING)
+        [step] = self.plan([task], planner.SETTLING_SECONDS)
         self.assertEqual('fits no known instance', step.reason)
 
     def test_an_instance_without_reports_counts_as_known(self):
         self.plan([make_task()])
         for instance in self.fleet.list_all():
             instance.reported_at -= 7200.0
-        self.assertEqual([], self.plan([make_task()], planner.SETTLING))
+        self.assertEqual(
+            [], self.plan([make_task()], planner.SETTLING_SECONDS)
+        )
 
     def test_a_task_larger_than_its_quota_is_refused(self):
         self.plan([make_task()])
-        [step] = self.plan([make_task('greedy')], planner.SETTLING)
+        [step] = self.plan([make_task('greedy')], planner.SETTLING_SECONDS)
         self.assertEqual('larger than the quota of a', step.reason)
 
     def test_the_learned_size_is_committed_and_charged(self):
         for _ in range(5):
-            self.knowledge.learner.note_usage('build', 20, 16)
+            self.learned_state.learner.note_usage('build', 20, 16)
         [step] = self.plan([make_task()])
         self.assertEqual('grown', step.estimate.source)
         self.assertEqual(step.estimate.size, step.instance.committed)
@@ -144,16 +146,16 @@
 
     def test_no_instance_is_planned_beyond_its_capacity(self):
         for _ in range(5):
-            self.knowledge.learner.note_usage('build', 500, 16)
+            self.learned_state.learner.note_usage('build', 500, 16)
         for _ in range(20):
             self.plan([make_task() for _ in range(50)])
             for instance in self.fleet.list_all():
                 instance.unproved = 0
         for instance in self.fleet.list_all():
-            limit = admission.leave_headroom(instance.capacity)
+            limit = admission.subtract_headroom(instance.capacity)
             self.assertTrue(instance.committed.fits(limit))
 
     def test_rounds_without_tasks_count_for_settling(self):
         self.assertEqual([], self.plan([]))
-        [step] = self.plan([make_task('huge')], planner.SETTLING)
+        [step] = self.plan([make_task('huge')], planner.SETTLING_SECONDS)
         self.assertEqual('fits no known instance', step.reason)
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -112,7 +112,7 @@
         self.assertTrue(tracker.judge(NAMES[4]).is_bad)
         self.assertEqual(3, tracker.judge(NAMES[4]).jobs)
         self.assertEqual([NAMES[4]], list(tracker.select(report(), 0)))
-        self.assertFalse(tracker.is_to_blame('job-1'))
+        self.assertFalse(tracker.is_job_faulty('job-1'))
 
     def test_job_failing_on_several_instances_is_faulty(self):
         """A typo in one build must not put the fleet in quarantine.
@@ -125,8 +125,8 @@
             for name in NAMES:
                 tracker.note('typo', name, failed=True)
         self.assertEqual({}, tracker.select(report(), 0))
-        self.assertTrue(tracker.is_to_blame('typo'))
-        self.assertFalse(tracker.is_to_blame('job-1'))
+        self.assertTrue(tracker.is_job_faulty('typo'))
+        self.assertFalse(tracker.is_job_faulty('job-1'))
 
     def test_instance_is_reassessed_once_the_job_is_known_faulty(self):
         tracker = make_tracker()
@@ -180,7 +180,7 @@
         tracker = make_tracker()
         reported = report(instance_04=3)
         tracker.select(reported, 0)
-        delay = quarantine.CANARY_DELAY
+        delay = quarantine.CANARY_DELAY_SECONDS
         self.assertFalse(tracker.may_test(NAMES[4], delay - 1))
         self.assertTrue(tracker.may_test(NAMES[4], delay))
         tracker.note_canary(NAMES[4], delay)
--- a/tests/decisions/test_usage.py
+++ b/tests/decisions/test_usage.py
@@ -45,7 +45,7 @@
 
     def test_reported_windows_update_the_history(self):
         timeline = usage.Timeline(CORES)
-        task_use = usage.TaskUse('1', 'build', 8.0, 0.5, True)
+        task_use = usage.TaskUsage('1', 'build', 8.0, 0.5, True)
         timeline.sync(usage.Window(1, 0.0, 1.0, (task_use,)))
         self.assertEqual([('1', 'build', 0.25, 0.5)], timeline.list_tasks())
         timeline.sync(usage.Window(2, 1.0, 2.0, ()))
--- a/tests/jobs/cases.py
+++ b/tests/jobs/cases.py
@@ -49,7 +49,7 @@
         service=QUEUE.service,
         capacity=specification.Size(cores * 1000, 256000),
         attached=True,
-        reported=True,
+        has_reported=True,
         **fields,
     )
 
@@ -57,7 +57,7 @@
 def add_run(instance, step, task='00000000000000bb.0.0.0', **fields):
     """Add a running run to an instance."""
     fields.setdefault('phase', instances.RunPhase.RUNNING)
-    fields.setdefault('seen_at', 1.0)
+    fields.setdefault('observed_at', 1.0)
     run = instances.Run(
         task=task,
         number=1,
@@ -87,7 +87,7 @@
 
 def plan(
     board,
-    places,
+    snapshot,
     fleet,
     now,
     wall_seconds,
@@ -100,7 +100,7 @@
     """Run one scheduling round; return its claims."""
     return scheduling.plan(
         board,
-        places,
+        snapshot,
         fleet,
         {queue.name: queue},
         {},
--- a/tests/jobs/crashing.py
+++ b/tests/jobs/crashing.py
@@ -50,7 +50,7 @@
         crash = fleet_pb2.Crash(boot=instance.boot, ago_seconds=ago)
         for task, seconds, *isolated in rows:
             run = self.board.place(
-                task, instance.address, instance.boot, apart=bool(isolated)
+                task, instance.address, instance.boot, isolated=bool(isolated)
             )
             crash.runs.add(task=task.name, run=run, seconds=seconds)
         self.tracker.note(instance, crash, self.now)
@@ -64,5 +64,5 @@
         self.poll()
 
     def is_failed(self, task):
-        suspects.give_up_spent(self.board, self.now)
+        suspects.fail_exhausted(self.board, self.now)
         return task.job.phase is record.JobPhase.FAILED
--- a/tests/jobs/crashplay.py
+++ b/tests/jobs/crashplay.py
@@ -12,11 +12,11 @@
 from persimmonsail.jobs import advice
 from persimmonsail.jobs import board as board_module
 from persimmonsail.jobs import fleet_pb2
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
 from persimmonsail.jobs import placer
-from persimmonsail.jobs import places as places_module
 from persimmonsail.jobs import record
 from persimmonsail.jobs import reports
 from tests.jobs import cases
@@ -213,7 +213,7 @@
         for run in self.pending:
             report.pending.add(task=run.key[0], run=run.key[1])
         report.ended.extend(
-            row for row in self.ended if row.number > instance.processed
+            row for row in self.ended if row.number > instance.processed_end
         )
         # A crash is known once the agent is back with another boot.
         known_count = len(self.crashes) - is_down
@@ -251,7 +251,7 @@
         for job in self._board.jobs.values():
             board.add(_copy(job))
         self._board = board
-        self._places = places_module.Places()
+        self._snapshot = fleetsnapshot.FleetSnapshot()
         self._instances = [
             cases.make_instance(
                 f'10.0.0.{agent.number}:7000',
@@ -270,7 +270,7 @@
             lambda: self._instances,
         )
         for agent, instance in zip(self._agents, self._instances, strict=True):
-            instance.reported = False
+            instance.has_reported = False
             instance.boot = agent.boot
             agent.changed = True
             # Sidecars report their crashes to each leader again.
@@ -360,7 +360,7 @@
 
     def _place(self, now: float) -> None:
         claims = cases.plan(
-            self._board, self._places, self._instances, now, now
+            self._board, self._snapshot, self._instances, now, now
         )
         for claim in claims:
             claim.run.order = 1
--- a/tests/jobs/scalar_placement.py
+++ b/tests/jobs/scalar_placement.py
@@ -1,6 +1,6 @@
 """Scalar reference implementation of placement.
 
-Tests compare the vectorised ``persimmonsail.jobs.places`` with it.
+Tests compare the vectorised ``persimmonsail.jobs.fleetsnapshot`` with it.
 """
 
 import typing as t
@@ -22,7 +22,7 @@
     service: str,
     model: interference.Model,
     now: float,
-    min_speed: float = placement.LEAST_SPEED,
+    min_speed: float = placement.MIN_SPEED,
 ) -> instances.Instance | None:
     """Return the best instance with capacity for a task, if any."""
     candidates = placement.list_fitting(task, fleet, service, now)
@@ -35,7 +35,7 @@
     instance: instances.Instance, model: interference.Model
 ) -> float:
     """Return the estimated unused millicores of an instance."""
-    use = model.estimate_use()
+    use = model.estimate_serving_use()
     unused = float(instance.capacity.millicores)
     for run in instance.runs.values():
         used = use if run.serves else 1.0
@@ -58,17 +58,17 @@
     if not step.size.millicores:
         return 1.0
     serving = instance.serving
-    if any(run.over_since for run in serving):
+    if any(run.over_target_since for run in serving):
         return 0.0
     speed = estimate_unused(instance, model) / step.size.millicores
     # Tasks of one step tolerate the same interference.
     by_step = {run.step_name: run for run in serving}
-    colocated = [run.step for run in instance.fillers]
+    colocated = [run.step for run in instance.best_effort_runs]
     threshold = model.get_threshold()
     for run in by_step.values():
         image = run.step.image
         load = model.expect_load(run.step_name, len(by_step))
-        if model.get_bound(image, step.image) >= threshold:
+        if model.get_upper_bound(image, step.image) >= threshold:
             current = model.estimate_load(run, instance.address, now)
             load = max(load, current)
         headroom = model.estimate_limit() - _HEADROOM - load
@@ -94,7 +94,9 @@
     image = serving.step.image
     capacity = max(instance.capacity.millicores, 1)
     return sum(
-        model.get_bound(image, step.image) * step.size.millicores / capacity
+        model.get_upper_bound(image, step.image)
+        * step.size.millicores
+        / capacity
         for step in steps
     )
 
--- a/tests/jobs/test_advice.py
+++ b/tests/jobs/test_advice.py
@@ -4,7 +4,7 @@
 from persimmonsail.jobs import advice
 from persimmonsail.jobs import advisor
 from persimmonsail.jobs import board as board_module
-from persimmonsail.jobs import places
+from persimmonsail.jobs import fleetsnapshot
 from tests import base
 from tests.jobs import cases
 
@@ -30,7 +30,7 @@
     def plan(self, now=NOW):
         return cases.plan(
             self.board,
-            places.Places(),
+            fleetsnapshot.FleetSnapshot(),
             self.fleet,
             now,
             WALL,
@@ -43,9 +43,9 @@
             return await self.approvals.wait_question()
 
     def answer(self, question, *boots, now=NOW):
-        tickets = {boot: f't-{boot}' for boot in boots}
+        permits = {boot: f't-{boot}' for boot in boots}
         self.approvals.note(
-            question, advisor.Answer(tickets, VALID_SECONDS), now
+            question, advisor.Answer(permits, VALID_SECONDS), now
         )
 
     async def test_tasks_start_with_tickets_on_approved_instances(self):
@@ -61,7 +61,7 @@
         self.answer(question, 'b1')
         claims = self.plan()
         self.assertEqual({'b1'}, {claim.instance.boot for claim in claims})
-        self.assertEqual({'t-b1'}, {claim.ticket for claim in claims})
+        self.assertEqual({'t-b1'}, {claim.permit for claim in claims})
         self.assertEqual(3, len(claims))
         # One task is left and the only approved instance is full, but all
         # instances have been answered for, so no question remains.
@@ -84,13 +84,13 @@
         """
         self.plan()
         self.answer(await self.wait_question_briefly(), 'b1', 'b2')
-        self.approvals.drop_ticket(self.step, 'b1')
+        self.approvals.drop_permit(self.step, 'b1')
         claims = self.plan()
         self.assertEqual({'b2'}, {claim.instance.boot for claim in claims})
         for claim in claims:
             key = (claim.run.task, claim.run.number)
             claim.instance.drop_run(key)
-        self.assertNotIn('b1', self.approvals.find_tickets(self.step, NOW))
+        self.assertNotIn('b1', self.approvals.find_permits(self.step, NOW))
 
     async def test_a_question_names_a_batch_of_instances_with_room(self):
         """A short check starts late: its question named the whole fleet.
@@ -131,7 +131,7 @@
         self.plan()
         self.answer(await self.wait_question_briefly(), 'b1')
         self.approvals.forget(cases.ID)
-        self.assertEqual({}, self.approvals.find_tickets(self.step, NOW))
+        self.assertEqual({}, self.approvals.find_permits(self.step, NOW))
 
     async def test_an_advisor_that_fails_is_asked_again(self):
         """Nothing more starts on a queue after its advisor was busy once."""
@@ -141,7 +141,10 @@
         with anyio.fail_after(5.0):
             async with anyio.create_task_group() as group:
                 group.start_soon(
-                    advice.keep_asking, advisor, self.approvals, answered.set
+                    advice.run_question_loop,
+                    advisor,
+                    self.approvals,
+                    answered.set,
                 )
                 while not answered.is_set():
                     await anyio.sleep(0.05)
--- a/tests/jobs/test_agent.py
+++ b/tests/jobs/test_agent.py
@@ -29,11 +29,11 @@
     async def stop(self, boot, epoch, task, run):
         self.calls.append('stop')
 
-    async def look(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
+    async def poll(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
         await anyio.sleep(wait)
         if until_ms is not None:
             self.renewed_at.append(clock.read())
-        return worker.Look(round(clock.read() * 1000), (), ())
+        return worker.Snapshot(round(clock.read() * 1000), (), ())
 
 
 class AgentTest(base.TestCase):
@@ -61,7 +61,7 @@
     def test_a_successor_takes_over_once_the_boot_has_ended(self):
         self.agent.note_heartbeat(make_heartbeat('first'))
         self.agent.note_heartbeat(make_heartbeat('second'))
-        self.agent.note_boot_over('first')
+        self.agent.note_boot_ended('first')
         self.assertEqual('second', self.boot)
         self.agent.note_heartbeat(make_heartbeat('first', 2))
         self.assertEqual('second', self.boot)
@@ -73,7 +73,7 @@
 
     def test_an_ended_boot_is_forgotten(self):
         self.agent.note_heartbeat(make_heartbeat('first'))
-        self.agent.note_boot_over('first')
+        self.agent.note_boot_ended('first')
         self.assertEqual('', self.boot)
 
     async def test_a_delayed_order_is_not_executed(self):
@@ -108,11 +108,11 @@
     def test_only_an_unannounced_end_is_a_crash(self):
         leaving = dataclasses.replace(make_heartbeat('third'), leaving=True)
         self.agent.note_heartbeat(make_heartbeat('first'))
-        self.agent.note_boot_over('first')
+        self.agent.note_boot_ended('first')
         self.agent.note_heartbeat(make_heartbeat('second'))
-        self.agent.note_boot_over('second', asked=True)
+        self.agent.note_boot_ended('second', announced=True)
         self.agent.note_heartbeat(leaving)
-        self.agent.note_boot_over('third')
+        self.agent.note_boot_ended('third')
         self.assertEqual(
             ['first'], [crash.boot for crash in self.agent._crashes]
         )
@@ -125,7 +125,7 @@
         self.agent._incarnation.note_unanswered_call(clock.read())
         received_at = clock.read()
         self.agent.note_heartbeat(make_heartbeat('first', 2))
-        self.agent.note_boot_over('first')
+        self.agent.note_boot_ended('first')
         (crash,) = self.agent._crashes
         self.assertGreaterEqual(crash.failed_at, received_at)
 
--- a/tests/jobs/test_board.py
+++ b/tests/jobs/test_board.py
@@ -90,11 +90,11 @@
             self.board.place(task, 'a', 'boot')
             self.end(task, 'lost')
         self.board.changed.clear()
-        self.assertTrue(self.board.note_late_done(task, 1))
+        self.assertTrue(self.board.accept_late_completion(task, 1))
         self.assertEqual([record.TaskKey(0, 1, 0)], list(job.waiting))
         self.assertEqual(0, job.placed_count)
         self.assertEqual({job.id}, self.board.changed)
-        self.assertEqual([], self.board.recalled)
+        self.assertEqual([], self.board.superseded_tasks)
 
     def test_a_later_run_is_recalled_before_its_task_is_done(self):
         """Guards against a complete job with a second run still going on.
@@ -110,9 +110,9 @@
             fresh_board.place(task, 'a', 'boot')
             fresh_board.note_end(task, 1, board.End.LOST, '', MAX_ATTEMPTS)
             fresh_board.place(task, 'b', 'boot')
-            self.assertTrue(fresh_board.note_late_done(task, 1))
+            self.assertTrue(fresh_board.accept_late_completion(task, 1))
             self.assertIs(record.JobPhase.ACTIVE, job.phase)
-            self.assertEqual([task], fresh_board.recalled)
+            self.assertEqual([task], fresh_board.superseded_tasks)
             # The state survives a change of leader.
             restored = record.decode_progress(job.progress.encode())
             self.assertTrue(restored.tasks[task.key].earlier_done)
@@ -123,26 +123,26 @@
     def test_some_late_ends_are_no_end_of_their_task(self):
         job = self.add(cases.make_step(2))
         first, second = job.waiting.values()
-        self.assertFalse(self.board.note_late_done(first, 1))
+        self.assertFalse(self.board.accept_late_completion(first, 1))
         self.board.place(first, 'a', 'boot')
         self.end(first, 'lost')
         # No run with this number was claimed.
-        self.assertFalse(self.board.note_late_done(first, 2))
+        self.assertFalse(self.board.accept_late_completion(first, 2))
         self.board.place(first, 'a', 'boot')
         self.end(first, 'done')
-        self.assertFalse(self.board.note_late_done(first, 1))
+        self.assertFalse(self.board.accept_late_completion(first, 1))
         self.board.place(second, 'a', 'boot')
         self.end(second, 'lost')
         self.board.cancel(job.id)
-        self.assertFalse(self.board.note_late_done(second, 1))
-        self.assertEqual([], self.board.recalled)
+        self.assertFalse(self.board.accept_late_completion(second, 1))
+        self.assertEqual([], self.board.superseded_tasks)
 
     def test_what_lasts_is_never_done(self):
         job = self.add(cases.make_step(1, long_running=True))
         (task,) = job.waiting.values()
         self.board.place(task, 'a', 'boot')
         self.end(task, 'lost')
-        self.assertFalse(self.board.note_late_done(task, 1))
+        self.assertFalse(self.board.accept_late_completion(task, 1))
         self.assertIn(task.key, job.waiting)
 
     def test_run_numbers_rise_over_every_kind_of_end(self):
@@ -296,28 +296,28 @@
         self.assertEqual([record.TaskKey(0, 1, 0)], list(job.waiting))
         self.assertEqual(0, job.placed_count)
         self.assertFalse(self.end(gang[0], 'lost'))
-        self.assertEqual([], self.board.broken)
+        self.assertEqual([], self.board.broken_gang_tasks)
 
     def test_a_late_done_end_recalls_the_whole_gang(self):
         """Guards against a complete gang with its second run going on."""
         job, gang = self.place_gang()
         for task in gang:
             self.end(task, 'lost')
-        self.board.broken.clear()
+        self.board.broken_gang_tasks.clear()
         for task in gang[1:]:
             self.board.place(task, 'b', 'boot', 5)
-        self.assertTrue(self.board.note_late_done(gang[0], 4))
-        self.assertEqual(gang[1:], self.board.recalled)
+        self.assertTrue(self.board.accept_late_completion(gang[0], 4))
+        self.assertEqual(gang[1:], self.board.superseded_tasks)
         self.end(gang[1], 'stopped')
         self.assertEqual({}, job.waiting)
         self.end(gang[2], 'broken')
         self.assertEqual([record.TaskKey(0, 1, 0)], list(job.waiting))
-        self.assertEqual([], self.board.broken)
+        self.assertEqual([], self.board.broken_gang_tasks)
 
     def test_a_gang_that_broke_is_told_of(self):
         job, gang = self.place_gang()
         self.end(gang[0], 'not-started')
-        self.assertEqual([gang[0]], self.board.broken)
+        self.assertEqual([gang[0]], self.board.broken_gang_tasks)
         self.assertEqual(2, job.placed_count)
 
     def test_failures_of_all_members_count_for_the_gang(self):
--- a/tests/jobs/test_capacities.py
+++ b/tests/jobs/test_capacities.py
@@ -72,7 +72,7 @@
         await self.save(fleet)
         await self.save({'b': cases.make_instance('b', cores=8)})
         with anyio.move_on_after(0.1):
-            await capacities_module.keep_reading(self.store, self.capacities)
+            await capacities_module.run_read_loop(self.store, self.capacities)
         self.check(specification.Size(64000, 1000))
         self.assertRaises(
             exceptions.JobInvalid, self.check, specification.Size(64001, 1)
@@ -80,7 +80,7 @@
 
     async def save(self, fleet):
         with anyio.move_on_after(0.1):
-            await capacities_module.keep_saving(self.store, fleet, 0.01)
+            await capacities_module.run_save_loop(self.store, fleet, 0.01)
 
     async def test_what_is_known_is_written_once(self):
         await self.save({'a': cases.make_instance()})
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -3,7 +3,7 @@
 from persimmonsail.jobs import board as board_module
 from persimmonsail.jobs import crashes
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import places as places_module
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import record
 from persimmonsail.jobs import specification
 from tests.jobs import cases
@@ -145,14 +145,14 @@
         """Place waiting tasks in rounds; return when each was started."""
         started_at = {}
         until = now + seconds
-        snapshot = places_module.Places()
+        snapshot = fleetsnapshot.FleetSnapshot()
         while now < until:
             self.now = now
             self.poll()
             claims = cases.plan(self.board, snapshot, self.fleet, now, now)
             for claim in claims:
                 started_at[claim.task.name] = now
-                claim.run.seen_at = now
+                claim.run.observed_at = now
             now += 0.05
         return started_at
 
--- a/tests/jobs/test_places.py
+++ b/tests/jobs/test_fleetsnapshot.py
@@ -1,8 +1,8 @@
 import random
 
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import placement
-from persimmonsail.jobs import places
 from persimmonsail.jobs import specification
 from tests import base
 from tests.jobs import cases
@@ -20,7 +20,7 @@
         super().setUp()
         self.random = random.Random(7)
         self.model = interference.Model()
-        self.places = places.Places()
+        self.snapshot = fleetsnapshot.FleetSnapshot()
         self.fleet = [
             cases.make_instance(
                 f'10.0.0.{i}:7000',
@@ -61,7 +61,7 @@
         run = cases.add_run(instance, step, name)
         if step.latency_target_ms:
             run.gauge = self.random.uniform(4.0, 19.0)
-            run.over_since = NOW - 1 if run.gauge > 18 else 0.0
+            run.over_target_since = NOW - 1 if run.gauge > 18 else 0.0
         else:
             run.gauge = 0.5 * step.size.millicores
 
@@ -75,9 +75,9 @@
 
     def choose(self, task, min_speed):
         service = cases.QUEUE.service
-        self.places.refresh(self.fleet, self.model, NOW)
+        self.snapshot.refresh(self.fleet, self.model, NOW)
         candidates = placement.Candidates(
-            self.places,
+            self.snapshot,
             task.step,
             task.step_name,
             placement.find_usable(self.fleet, service, NOW),
--- a/tests/jobs/test_gateway.py
+++ b/tests/jobs/test_gateway.py
@@ -58,7 +58,7 @@
         self.contract = contract.Contract(contract.JOBS_FILE)
         self.intake = IntakeStub()
         self.view = queues.View()
-        self.view.offer(cases.QUEUES)
+        self.view.update(cases.QUEUES)
         self.ready = True
         self.app = gateway.JobGateway(
             self.intake, self.view, lambda: self.ready
--- a/tests/jobs/test_life.py
+++ b/tests/jobs/test_incarnation.py
@@ -1,7 +1,7 @@
 import dataclasses
 import math
 
-from persimmonsail.jobs import life
+from persimmonsail.jobs import incarnation
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import worker
 from tests import base
@@ -19,12 +19,12 @@
 class IncarnationTest(base.TestCase):
     def setUp(self):
         super().setUp()
-        self.incarnation = life.Incarnation(BOOT, 10.0)
+        self.incarnation = incarnation.Incarnation(BOOT, 10.0)
 
     def apply_snapshot(self, clock_ms, *running, ended=()):
         rows = tuple(worker.RunningRow(task, run) for task, run in running)
         return self.incarnation.apply_snapshot(
-            worker.Look(clock_ms, rows, tuple(ended)), 10.0
+            worker.Snapshot(clock_ms, rows, tuple(ended)), 10.0
         )
 
     def test_a_reordered_snapshot_changes_nothing(self):
--- a/tests/jobs/test_interference.py
+++ b/tests/jobs/test_interference.py
@@ -2,7 +2,7 @@
 
 from persimmonsail.jobs import gauges
 from persimmonsail.jobs import interference
-from persimmonsail.jobs import pace
+from persimmonsail.jobs import throttling
 from tests import base
 from tests.jobs import cases
 
@@ -54,7 +54,9 @@
                 noise_factor = self.random.uniform(0.95, 1.05)
                 run.gauge = BASE_MS / (1 - min(fullness, 0.98)) * noise_factor
                 is_over = run.gauge > TARGET_MS
-                run.over_since = (run.over_since or now) if is_over else 0.0
+                run.over_target_since = (
+                    (run.over_target_since or now) if is_over else 0.0
+                )
             model.learn(instance, now)
 
 
@@ -99,11 +101,11 @@
         fleet.add_best_effort(2, 'loud', 3)
         now = self.simulate(fleet, model)
         instance = fleet.instances[0]
-        loud.due = quiet.due = now + 10
+        loud.due_at = quiet.due_at = now + 10
         fleet.poll(model, now, 0.65)
         changes = {
             change.run: change.percent
-            for change in pace.decide(instance, model, now)
+            for change in throttling.choose_changes(instance, model, now)
         }
         self.assertNotIn(quiet, changes)
         self.assertLess(changes[loud], 60)
@@ -120,11 +122,13 @@
         now = 100.0
         while now < 103.0:
             fleet.poll(model, now, 0.5)
-            for change in pace.decide(fleet.instances[0], model, now):
-                run.pace = change.percent
-                run.paced_at = now
+            for change in throttling.choose_changes(
+                fleet.instances[0], model, now
+            ):
+                run.speed_limit = change.percent
+                run.speed_limit_at = now
             now += POLL_SECONDS
-        self.assertEqual(0, run.pace)
+        self.assertEqual(0, run.speed_limit)
 
     def test_what_is_due_first_gets_the_pressure(self):
         """All best-effort tasks of a burst miss their due time by a little.
@@ -137,7 +141,7 @@
         late = fleet.add_best_effort(0, 'loud', 4)
         fleet.add_best_effort(1, 'loud', 3)
         now = self.simulate(fleet, model)
-        early.due, late.due = now + 2, now + 9
+        early.due_at, late.due_at = now + 2, now + 9
         early.step = late.step = cases.make_step(
             1,
             image='loud',
@@ -145,11 +149,14 @@
             size=cases.specification.Size(10000, 100),
         )
         fleet.poll(model, now, 0.3)
-        early.paced_at = late.paced_at = 0.0
+        early.speed_limit_at = late.speed_limit_at = 0.0
         changes = {
             change.run: change.percent
-            for change in pace.decide(fleet.instances[0], model, now)
+            for change in throttling.choose_changes(
+                fleet.instances[0], model, now
+            )
         }
         self.assertGreater(
-            changes.get(early, early.pace), changes.get(late, late.pace)
+            changes.get(early, early.speed_limit),
+            changes.get(late, late.speed_limit),
         )
--- a/tests/jobs/test_leader.py
+++ b/tests/jobs/test_leader.py
@@ -4,9 +4,9 @@
 import anyio
 
 from persimmonsail.jobs import fleet_pb2
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import leader as leader_module
 from persimmonsail.jobs import ledger
-from persimmonsail.jobs import places
 from persimmonsail.jobs import queues
 from persimmonsail.jobs import record
 from persimmonsail.jobs import specification
@@ -30,7 +30,7 @@
         """
         store = test_ledger.FakeStore()
         leader = self.open_leader(store)
-        leader.note_job(cases.ID, self.make_submission(cases.QUEUE))
+        leader.add_job(cases.ID, self.make_submission(cases.QUEUE))
         (task,) = leader.board.jobs[cases.ID].tasks.values()
         instance = cases.make_instance()
         leader.board.place(task, instance.address, instance.boot)
@@ -51,10 +51,14 @@
         leader = self.open_leader(store)
         ids = (cases.ID, 'b' * 16)
         for id in ids:
-            leader.note_job(id, self.make_submission(cases.QUEUE))
+            leader.add_job(id, self.make_submission(cases.QUEUE))
         instance = cases.make_instance()
         claims = cases.plan(
-            leader.board, places.Places(), [instance], 100.0, 100.0
+            leader.board,
+            fleetsnapshot.FleetSnapshot(),
+            [instance],
+            100.0,
+            100.0,
         )
         store.present_keys = {record.CANCELS + cases.ID: '{"cancelled_ms": 1}'}
         leader._fleet.start = lambda *arguments: None
@@ -74,7 +78,7 @@
         leader = self.open_leader()
         self.assertIsNone(leader.count_pending(cases.QUEUE.name))
         leader.loaded = True
-        leader.note_job(cases.ID, self.make_submission(cases.QUEUE))
+        leader.add_job(cases.ID, self.make_submission(cases.QUEUE))
         self.assertEqual(1, leader.count_pending(cases.QUEUE.name))
         leader._ledger.confirmed_at -= 2.0
         self.assertIsNone(leader.count_pending(cases.QUEUE.name))
@@ -107,7 +111,7 @@
         assumed that the queue allows a single failure.
         """
         leader = self.open_leader()
-        leader.note_job(cases.ID, self.make_submission(cases.QUEUE))
+        leader.add_job(cases.ID, self.make_submission(cases.QUEUE))
         job = leader.board.jobs[cases.ID]
         self.fail_once(leader, job)
         self.assertIs(record.JobPhase.ACTIVE, job.phase)
@@ -115,8 +119,8 @@
     def test_a_newer_configuration_goes_before_the_terms(self):
         leader = self.open_leader()
         newer = dataclasses.replace(cases.QUEUE, max_attempts=1)
-        leader._view.offer(queues.Configuration(2, (newer,)))
-        leader.note_job(cases.ID, self.make_submission(cases.QUEUE))
+        leader._view.update(queues.Configuration(2, (newer,)))
+        leader.add_job(cases.ID, self.make_submission(cases.QUEUE))
         job = leader.board.jobs[cases.ID]
         self.fail_once(leader, job)
         self.assertIs(record.JobPhase.FAILED, job.phase)
--- a/tests/jobs/test_memory.py
+++ b/tests/jobs/test_learnedstate.py
@@ -1,7 +1,7 @@
 import anyio
 
 from persimmonsail.jobs import interference
-from persimmonsail.jobs import memory
+from persimmonsail.jobs import learnedstate
 from persimmonsail.jobs import record
 from standins import memory as memory_store
 from tests import base
@@ -41,16 +41,18 @@
     async def test_a_successor_knows_what_its_predecessor_learnt(self):
         before = self.learn()
         with anyio.move_on_after(0.2):
-            await memory.keep_saving(self.store, before, period_seconds=0.01)
+            await learnedstate.run_save_loop(
+                self.store, before, period_seconds=0.01
+            )
         after = interference.Model()
-        await memory.load(self.store, after)
+        await learnedstate.load(self.store, after)
         for image in ('loud', 'quiet'):
             self.assertAlmostEqual(
                 before.get_coefficient('shop', image),
                 after.get_coefficient('shop', image),
                 places=1,
             )
-        self.assertLess(after.get_bound('shop', 'quiet'), 0.75)
+        self.assertLess(after.get_upper_bound('shop', 'quiet'), 0.75)
 
     async def test_a_leader_that_stops_soon_hands_on_what_it_learnt(self):
         """Entries restart one after another, and targets are missed.
@@ -58,8 +60,8 @@
         Each entry led for less than its save period, so none handed over what
         it had learnt.
         """
-        await memory.save_last(self.store, self.learn())
-        item = await self.store.get(record.KNOWLEDGE)
+        await learnedstate.save_last(self.store, self.learn())
+        item = await self.store.get(record.LEARNED_STATE)
         self.assertIn('loud', item.value)
 
     async def test_a_slow_store_keeps_no_leader_from_stopping(self):
@@ -68,13 +70,13 @@
         The leader waited for its last save while the store did not respond.
         """
         with anyio.fail_after(1.0):
-            await memory.save_last(UnresponsiveStore(), self.learn())
+            await learnedstate.save_last(UnresponsiveStore(), self.learn())
 
     async def test_what_cannot_be_read_is_learnt_anew(self):
         model = interference.Model()
         for text in ('no json', '{"shop": 3}', MISMATCHED):
-            await self.store.put(record.KNOWLEDGE, text)
-            await memory.load(self.store, model)
+            await self.store.put(record.LEARNED_STATE, text)
+            await learnedstate.load(self.store, model)
             self.assertEqual(
                 interference.Model().get_coefficient('shop', 'loud'),
                 model.get_coefficient('shop', 'loud'),
--- a/tests/jobs/test_orders.py
+++ b/tests/jobs/test_orders.py
@@ -5,7 +5,7 @@
 from persimmonsail import exceptions
 from persimmonsail.jobs import clock
 from persimmonsail.jobs import fleet_pb2
-from persimmonsail.jobs import life as incarnation_module
+from persimmonsail.jobs import incarnation as incarnation_module
 from persimmonsail.jobs import orders
 from persimmonsail.jobs import specification
 from persimmonsail.jobs import worker
@@ -40,8 +40,8 @@
     async def stop(self, boot, epoch, task, run):
         self.calls.append('stop')
 
-    async def look(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
-        return worker.Look(round(clock.read() * 1000), (), ())
+    async def poll(self, boot, epoch, acknowledged, until_ms=None, wait=0.0):
+        return worker.Snapshot(round(clock.read() * 1000), (), ())
 
 
 class SilentWorker(SlowWorker):
--- a/tests/jobs/test_placement.py
+++ b/tests/jobs/test_placement.py
@@ -1,7 +1,7 @@
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import placement
-from persimmonsail.jobs import places
 from persimmonsail.jobs import specification
 from tests import base
 from tests.jobs import cases
@@ -26,7 +26,7 @@
     def choose(self, step):
         job = cases.make_job(step)
         (task, *_) = job.waiting.values()
-        snapshot = places.Places()
+        snapshot = fleetsnapshot.FleetSnapshot()
         snapshot.refresh(self.fleet, self.model, NOW)
         candidates = placement.Candidates(
             snapshot,
@@ -41,7 +41,7 @@
             {'leaving': True},
             {'attached': False},
             {'boot': ''},
-            {'known': False},
+            {'has_agent': False},
             {'silent_seconds': 2.0},
             {'suspect_until': NOW + 1},
             {'service': 'other'},
--- a/tests/jobs/test_regression.py
+++ b/tests/jobs/test_regression.py
@@ -28,8 +28,12 @@
     def test_an_unknown_pair_may_be_of_either_kind(self):
         self.assertAlmostEqual(0.68, self.fit.get('new'))
         # The mean over both kinds, plus and minus part of their deviation.
-        self.assertAlmostEqual(0.918, self.fit.get_bound('new'), places=3)
-        self.assertAlmostEqual(0.125, self.fit.get_least('new'), places=3)
+        self.assertAlmostEqual(
+            0.918, self.fit.get_upper_bound('new'), places=3
+        )
+        self.assertAlmostEqual(
+            0.125, self.fit.get_lower_bound('new'), places=3
+        )
 
     def test_both_kinds_are_told_apart_within_seconds(self):
         """Best-effort tasks are throttled although they don't interfere.
@@ -41,7 +45,7 @@
         self.add_observations(24, coefficients, loud=0.25, quiet=0.25)
         self.assertGreater(self.fit.get('loud'), 1.2)
         self.assertLess(self.fit.get('quiet'), 0.45)
-        self.assertLess(self.fit.get_bound('quiet'), 0.75)
+        self.assertLess(self.fit.get_upper_bound('quiet'), 0.75)
 
     def test_what_was_not_seen_for_long_is_still_known(self):
         """An image interferes that is known to have interfered a minute ago.
--- a/tests/jobs/test_reports.py
+++ b/tests/jobs/test_reports.py
@@ -118,11 +118,11 @@
         boot = self.instance.boot
         question = advisor.Question(step, (boot,))
         self.approvals.note(question, advisor.Answer({boot: 't'}, 9.0), NOW)
-        self.assertIn(boot, self.approvals.find_tickets(step, NOW))
+        self.assertIn(boot, self.approvals.find_permits(step, NOW))
         report = self.report()
         report.barred.add(task=run.task, run=1, reason='ticket')
         self.read(report)
-        self.assertEqual({}, self.approvals.find_tickets(step, NOW))
+        self.assertEqual({}, self.approvals.find_permits(step, NOW))
 
     def refuse_starts(self, count):
         """Refuse consecutive starts of a task; return the last backoff."""
@@ -201,7 +201,7 @@
         report = self.report()
         report.pending.add(task=run.task, run=1)
         self.assertEqual([], self.read(report).stops)
-        self.board.give_up(self.tasks[1], 'it crashes agents')
+        self.board.fail_job(self.tasks[1], 'it crashes agents')
         self.assertEqual([run], self.read(report).stops)
         run.phase = instances.RunPhase.STOPPING
         self.assertEqual([], self.read(report).stops)
@@ -295,8 +295,8 @@
         report = self.report(second)
         report.ended.add(number=1, task=run.task, run=1, how='done')
         self.assertEqual([second], self.read(report).stops)
-        self.assertEqual([self.tasks[0]], self.reader.pop_recalled())
-        self.assertEqual([], self.reader.pop_recalled())
+        self.assertEqual([self.tasks[0]], self.reader.pop_superseded_tasks())
+        self.assertEqual([], self.reader.pop_superseded_tasks())
 
     def test_one_gauge_below_the_target_ends_no_miss(self):
         """A serving task exceeds its target for 4 s beside a build.
@@ -310,4 +310,4 @@
             report = self.report()
             report.running.add(task=run.task, run=1, gauge=gauge)
             self.read(report, now)
-        self.assertEqual(1.0, run.over_since)
+        self.assertEqual(1.0, run.over_target_since)
--- a/tests/jobs/test_scheduling.py
+++ b/tests/jobs/test_scheduling.py
@@ -1,8 +1,8 @@
 from persimmonsail.jobs import advice
 from persimmonsail.jobs import board as board_module
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
-from persimmonsail.jobs import places
 from persimmonsail.jobs import record
 from persimmonsail.jobs import scheduling
 from persimmonsail.jobs import specification
@@ -19,7 +19,7 @@
         self.board = board_module.Board()
         self.model = interference.Model()
         self.approvals = advice.Approvals()
-        self.places = places.Places()
+        self.snapshot = fleetsnapshot.FleetSnapshot()
         self.instance = cases.make_instance(cores=8)
 
     def add(self, step, id=cases.ID, age=0.0):
@@ -30,7 +30,7 @@
     def plan(self, now=NOW, round_interval=0.0):
         return cases.plan(
             self.board,
-            self.places,
+            self.snapshot,
             [self.instance],
             now,
             WALL,
@@ -110,12 +110,12 @@
         claims = self.plan()
         self.assertEqual({0}, {claim.task.key.occurrence for claim in claims})
         # Its objective counts from its due time, not from the acceptance.
-        self.assertGreater(claims[0].run.due, NOW)
+        self.assertGreater(claims[0].run.due_at, NOW)
         for claim in claims:
             self.instance.drop_run((claim.run.task, claim.run.number))
         claims = cases.plan(
             self.board,
-            self.places,
+            self.snapshot,
             [self.instance],
             NOW + 1,
             WALL + 1,
@@ -216,7 +216,7 @@
         self.add_gang(6, same_rack=True)
         claims = cases.plan(
             self.board,
-            self.places,
+            self.snapshot,
             [self.instance, other],
             NOW,
             WALL,
@@ -254,7 +254,7 @@
     def setUp(self):
         super().setUp()
         self.board = board_module.Board()
-        self.places = places.Places()
+        self.snapshot = fleetsnapshot.FleetSnapshot()
         self.fleet = [
             cases.make_instance(f'10.0.0.{i}:7000', boot=f'boot-{i}')
             for i in range(2)
@@ -262,15 +262,17 @@
         job = cases.make_job(cases.make_step(1))
         self.board.add(job)
         (self.task,) = job.tasks.values()
-        self.board.note_crashes(
+        self.board.update_crashes(
             self.task, record.Crashes(count=1, longest_ms=10)
         )
 
     def plan(self, now):
-        return cases.plan(self.board, self.places, self.fleet, now, WALL)
+        return cases.plan(self.board, self.snapshot, self.fleet, now, WALL)
 
-    def add_other(self, instance, seen_at, task):
-        cases.add_run(instance, cases.make_step(), task, seen_at=seen_at)
+    def add_other(self, instance, observed_at, task):
+        cases.add_run(
+            instance, cases.make_step(), task, observed_at=observed_at
+        )
 
     def test_a_quiet_instance_is_preferred(self):
         self.add_other(self.fleet[0], NOW - 0.2, '00000000000000bb.0.0.0')
--- a/tests/jobs/test_suspects.py
+++ b/tests/jobs/test_suspects.py
@@ -40,13 +40,13 @@
             'boot-1',
             task.step,
             'builds',
-            seen_at=crashing.NOW,
+            observed_at=crashing.NOW,
         )
-        suspects.note_running(self.board, task, run, crashing.NOW + 1.0)
+        suspects.clear_if_outlived(self.board, task, run, crashing.NOW + 1.0)
         self.assertEqual(1, task.state.crashes.count)
-        suspects.note_running(self.board, task, run, crashing.NOW + 2.5)
+        suspects.clear_if_outlived(self.board, task, run, crashing.NOW + 2.5)
         self.assertEqual(0, task.state.crashes.count)
-        self.assertEqual({}, self.board.suspects)
+        self.assertEqual({}, self.board.crash_suspects)
 
     def test_a_job_cancelled_in_between_stays_cancelled(self):
         task = self.add_task()
@@ -73,7 +73,7 @@
         )
         other = board_module.Board()
         other.add(loaded)
-        suspects.give_up_spent(other, 0.0)
+        suspects.fail_exhausted(other, 0.0)
         self.assertIs(record.JobPhase.FAILED, loaded.phase)
 
     def test_only_a_quarter_of_the_instances_is_left_to_suspects(self):
@@ -85,9 +85,9 @@
     def test_a_suspect_waits_for_its_place_for_some_seconds_only(self):
         task = self.add_task()
         self.crash(self.fleet[0], (task, 0.01))
-        self.assertTrue(suspects.needs_apart(task, crashing.NOW))
-        self.assertTrue(suspects.needs_apart(task, crashing.NOW + 2.0))
-        self.assertFalse(suspects.needs_apart(task, crashing.NOW + 3.5))
+        self.assertTrue(suspects.needs_isolation(task, crashing.NOW))
+        self.assertTrue(suspects.needs_isolation(task, crashing.NOW + 2.0))
+        self.assertFalse(suspects.needs_isolation(task, crashing.NOW + 3.5))
 
     def test_a_task_with_three_crashes_waits_longer_for_isolation(self):
         """A bad task crashes more than six agents, among many other bad ones.
@@ -100,15 +100,15 @@
         for instance in self.fleet[:3]:
             self.crash(instance, (bad, 0.01), (other, 0.01))
             self.wait()
-        self.assertTrue(suspects.needs_apart(bad, self.now))
-        self.assertTrue(suspects.needs_apart(bad, self.now + 25.0))
+        self.assertTrue(suspects.needs_isolation(bad, self.now))
+        self.assertTrue(suspects.needs_isolation(bad, self.now + 25.0))
         # The wait is limited, since the task may not be the cause.
-        self.assertFalse(suspects.needs_apart(bad, self.now + 31.0))
+        self.assertFalse(suspects.needs_isolation(bad, self.now + 31.0))
 
     def test_a_gang_is_never_tried_apart(self):
         task = self.add_task(gang=True)
         self.crash(self.fleet[0], (task, 0.01))
-        self.assertFalse(suspects.needs_apart(task, crashing.NOW))
+        self.assertFalse(suspects.needs_isolation(task, crashing.NOW))
 
     def test_nothing_is_started_beside_a_suspect_that_is_tried(self):
         instance = self.fleet[0]
@@ -119,10 +119,10 @@
             cases.make_step(),
             'builds',
             ordered_at=crashing.NOW,
-            apart_seconds=1.0,
+            isolation_seconds=1.0,
         )
         instance.add_run(run)
-        instance.apart = run
+        instance.isolated_run = run
         self.assertTrue(instance.is_reserved(crashing.NOW + 0.9))
         self.assertFalse(instance.is_reserved(crashing.NOW + 1.1))
         instance.drop_run(('a.0.0.0', 1))
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -114,10 +114,10 @@
 
     def test_what_is_switched_off_is_on_again(self):
         for name in ablations.ABLATIONS:
-            before = interference.HIGHEST
+            before = interference.EXPECTED_MAXIMA
             with ablations.switch_off(name):
                 pass
-            self.assertEqual(before, interference.HIGHEST)
+            self.assertEqual(before, interference.EXPECTED_MAXIMA)
 
 
 class HarmedDayTest(base.TestCase):
--- a/tools/bench/colocation.py
+++ b/tools/bench/colocation.py
@@ -29,7 +29,7 @@
 _MAX_ATTEMPTS = 4
 _SCAN = 40
 
-PLACEABLE = admission.leave_headroom(
+PLACEABLE = admission.subtract_headroom(
     admission.Size(machines.CORES, machines.MEMORY_GB)
 )
 
--- a/tools/bench/subject.py
+++ b/tools/bench/subject.py
@@ -93,7 +93,7 @@
 
     def place(self, candidates, task):
         """Choose by the placer's cost."""
-        need = placement.Need(
+        need = placement.Requirement(
             workload=task.workload,
             size=admission.Size(task.cores, task.memory_gb),
             waited=self.world.clock.now - task.submitted,
@@ -160,9 +160,9 @@
 
     def describe(
         self, name: str, timeline: usage_module.Timeline
-    ) -> ladder.Situation:
+    ) -> ladder.InstanceSnapshot:
         """Return what the ladder is told of an instance."""
-        return ladder.Situation(
+        return ladder.InstanceSnapshot(
             instance=name,
             tasks=tuple(
                 ladder.RunningTask(*task) for task in timeline.list_tasks()
--- a/tools/bench/tenancy.py
+++ b/tools/bench/tenancy.py
@@ -124,7 +124,7 @@
             reason := self.probation.find_refusal(step.canary)
         ):
             return reason
-        limit = admission.leave_headroom(CAPACITY)
+        limit = admission.subtract_headroom(CAPACITY)
         if not self.commitments.try_commit(
             step.task.id, step.estimate.size, limit
         ):
@@ -232,12 +232,12 @@
         rules = world.rules
         self.world = world
         self.view = View(world.clock)
-        self.knowledge = planner_module.Knowledge(
+        self.learned_state = planner_module.LearnedState(
             quarantine.POLICIES[rules.tracker](),
             learning.POLICIES[rules.learner](),
         )
         self.planner = planner_module.Planner(
-            self.view, self.knowledge, _choose, rules.order
+            self.view, self.learned_state, _choose, rules.order
         )
         self.tasks: dict[str, tasks_module.Task] = {}
         self.open: dict[str, tasks_module.Task] = {}
@@ -334,17 +334,17 @@
             self._commit(self._give_up, task)
             return
         failed = phase == 'failed'
-        self.knowledge.tracker.note(task.workload, node.name, failed)
+        self.learned_state.tracker.note(task.workload, node.name, failed)
         if failed:
             self._commit(self._note_failure, task)
         else:
             kind = self.world.kinds[task.workload]
-            self.knowledge.learner.note_run(kind.name, kind.seconds)
+            self.learned_state.learner.note_run(kind.name, kind.seconds)
             self._commit(self._finish, task, records.TaskPhase.SUCCEEDED)
 
     def _note_failure(self, task: tasks_module.Task) -> None:
         kind = self.world.kinds[task.workload]
-        to_blame = self.knowledge.tracker.is_to_blame(task.workload)
+        to_blame = self.learned_state.tracker.is_job_faulty(task.workload)
         if kind.idempotent and task.attempt < MAX_ATTEMPTS and not to_blame:
             self._release(task)
         else:
@@ -362,7 +362,7 @@
             for run in node.running.values():
                 if run.task in self.tasks:
                     used = run.kind.used
-                    self.knowledge.learner.note_usage(
+                    self.learned_state.learner.note_usage(
                         run.kind.name, used.cores, used.memory_gb
                     )
 
@@ -489,7 +489,7 @@
             for node in self.nodes.values():
                 if node.alive:
                     holder.view.note_node(node)
-            held = holder.knowledge.tracker.count_held()
+            held = holder.learned_state.tracker.count_quarantined()
             share = held / max(len(holder.view.list_live()), 1)
             self.most_quarantined = max(self.most_quarantined, share)
 
--- a/tools/emulator/ablations.py
+++ b/tools/emulator/ablations.py
@@ -62,13 +62,17 @@
 @register('doubt-from-surprises')
 def _keep_margin() -> t.Sequence[t.Any]:
     """Keep the same room free below each target."""
-    return (_replace('interference.Model.estimate_doubt', lambda model: 0.06),)
+    return (
+        _replace(
+            'interference.Model.estimate_uncertainty', lambda model: 0.06
+        ),
+    )
 
 
 @register('spread-of-loads')
 def _expect_mean() -> t.Sequence[t.Any]:
     """Expect the mean load, however much it swings."""
-    return (_replace('interference.HIGHEST', (0.0,)),)
+    return (_replace('interference.EXPECTED_MAXIMA', (0.0,)),)
 
 
 @register('slope-of-loads')
@@ -78,22 +82,22 @@
 
 @register('bound-in-placing')
 def _place_by_means() -> t.Sequence[t.Any]:
-    return (_replace('regression._BOUND_DEVIATIONS', 0.0),)
+    return (_replace('regression._UPPER_BOUND_DEVIATIONS', 0.0),)
 
 
 @register('least-in-pacing')
 def _pace_by_means() -> t.Sequence[t.Any]:
-    return (_replace('regression._LEAST_DEVIATIONS', 0.0),)
+    return (_replace('regression._LOWER_BOUND_DEVIATIONS', 0.0),)
 
 
 @register('trust-in-outliers')
 def _trust_outliers() -> t.Sequence[t.Any]:
-    return (_replace('interference._WIDEST', _NEVER),)
+    return (_replace('interference._MAX_DEVIATIONS', _NEVER),)
 
 
 @register('doubt-after-changes')
 def _trust_changes() -> t.Sequence[t.Any]:
-    return (_replace('gauges._CHANGE_DOUBT', 0.0),)
+    return (_replace('gauges._CHANGE_UNCERTAINTY', 0.0),)
 
 
 @register('gauge-lag')
@@ -103,27 +107,27 @@
 
 @register('wait-for-speed')
 def _place_at_any_speed() -> t.Sequence[t.Any]:
-    return (_replace('placement.LEAST_SPEED', 0.0),)
+    return (_replace('placement.MIN_SPEED', 0.0),)
 
 
 @register('limited-rise')
 def _rise_at_once() -> t.Sequence[t.Any]:
-    return (_replace('pace._FASTEST_RISE', _NEVER),)
+    return (_replace('throttling._MAX_RISE_FACTOR', _NEVER),)
 
 
 @register('slowing-what-hardly-presses')
 def _leave_light_alone() -> t.Sequence[t.Any]:
-    return (_replace('pace._LIGHT_PERCENT', 100),)
+    return (_replace('throttling._MIN_LIGHT_PERCENT', 100),)
 
 
 @register('stop-all')
 def _stop_only_what_presses() -> t.Sequence[t.Any]:
-    return (_replace('pace._STOP_ALL_SECONDS', _NEVER),)
+    return (_replace('throttling._STOP_ALL_SECONDS', _NEVER),)
 
 
 @register('starved-moves')
 def _move_nothing() -> t.Sequence[t.Any]:
-    return (_replace('eviction._SLOW_SECONDS', _NEVER),)
+    return (_replace('eviction._MAX_THROTTLED_SECONDS', _NEVER),)
 
 
 @register('beside-own-image')
@@ -131,19 +135,19 @@
     """Place serving tasks like all others, where most is unused."""
 
     def list_scores(candidates: t.Any) -> list[t.Any]:
-        return [-candidates._places.unused]
+        return [-candidates._snapshot.unused]
 
     return (_replace('placement.Candidates._list_scores', list_scores),)
 
 
 @register('still-instances')
 def _ignore_still() -> t.Sequence[t.Any]:
-    return (_replace('observations._STILL_SECONDS', _NEVER),)
+    return (_replace('observations._STALL_SECONDS', _NEVER),)
 
 
 @register('idle-jobs-start')
 def _let_idle_wait() -> t.Sequence[t.Any]:
-    return (_replace('scheduling._IDLE_SECONDS', _NEVER),)
+    return (_replace('scheduling._IDLE_TIMEOUT_SECONDS', _NEVER),)
 
 
 @register('order-by-work')
@@ -153,7 +157,7 @@
     def rate(
         task: t.Any, queue: t.Any, now_ms: float, *others: float
     ) -> order.Urgency:
-        return order.Urgency(queue.priority, 0, task.since_ms)
+        return order.Urgency(queue.priority, 0, task.objective_start_ms)
 
     return (_replace('order.rate', rate),)
 
@@ -173,7 +177,7 @@
 def _mix_suspects() -> t.Sequence[t.Any]:
     """Start suspects wherever there is room."""
 
-    def needs_apart(task: t.Any, now: float) -> bool:
+    def needs_isolation(task: t.Any, now: float) -> bool:
         return False
 
-    return (_replace('suspects.needs_apart', needs_apart),)
+    return (_replace('suspects.needs_isolation', needs_isolation),)
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -5,11 +5,11 @@
 from persimmonsail.jobs import board as board_module
 from persimmonsail.jobs import eviction
 from persimmonsail.jobs import fleet_pb2
+from persimmonsail.jobs import fleetsnapshot
 from persimmonsail.jobs import instances
 from persimmonsail.jobs import interference
 from persimmonsail.jobs import job as job_module
 from persimmonsail.jobs import placer
-from persimmonsail.jobs import places
 from persimmonsail.jobs import record
 from persimmonsail.jobs import reports
 from persimmonsail.jobs import scheduling
@@ -64,7 +64,7 @@
         self.board = board_module.Board()
         self._waited = 0.0
         self._model = make_model(self._truth)
-        self._places = places.Places()
+        self._snapshot = fleetsnapshot.FleetSnapshot()
         self._reader = reports.Reader(
             self.board,
             quarantine.Tracker(),
@@ -90,7 +90,7 @@
                     boot=worker.boot,
                     capacity=capacity,
                     attached=True,
-                    reported=True,
+                    has_reported=True,
                 )
             )
             # Sidecars report in turn, one each 0.04 s of a period.
@@ -165,16 +165,18 @@
             if now - self._reported[index] < _REPORT_SECONDS:
                 return False
         self._reported[index] = now
-        report = worker.describe(1, view.processed, now)
+        report = worker.describe(1, view.processed_end, now)
         clock = now + _CLOCK_OFFSET
         reaction = self._read(view, report, clock)
         for run in reaction.stops:
             self._stop(worker, run, now)
         for change in reaction.paces:
-            eviction.note_pace(change.run, change.percent, clock)
+            eviction.record_speed_limit(change.run, change.percent, clock)
             key = (change.run.task, change.run.number)
-            worker.set_pace(key, change.percent, now)
-        for run in eviction.select_starved(view, clock, self._reader.is_last):
+            worker.set_speed_limit(key, change.percent, now)
+        for run in eviction.select_starved(
+            view, clock, self._reader.is_last_placed
+        ):
             self._stop(worker, run, now)
         self._note_ends(now)
         return reaction.replan or bool(self.board.changed)
@@ -230,7 +232,7 @@
     def _plan(self, clock: float) -> list[placer.Claim]:
         return scheduling.plan(
             self.board,
-            self._places,
+            self._snapshot,
             self._views,
             load_module.QUEUES,
             self._reader.slowdowns,
--- a/tools/emulator/worker.py
+++ b/tools/emulator/worker.py
@@ -157,7 +157,7 @@
             saved,
             begins,
             crashes,
-            run.pace if run.step.best_effort_cpu else 100,
+            run.speed_limit if run.step.best_effort_cpu else 100,
         )
 
     def stop(self, key: instances.RunId, now: float) -> None:
@@ -166,7 +166,9 @@
         if run is not None and not run.stops_at:
             run.stops_at = now + self._truth.shape.stop_seconds
 
-    def set_pace(self, key: instances.RunId, percent: int, now: float) -> None:
+    def set_speed_limit(
+        self, key: instances.RunId, percent: int, now: float
+    ) -> None:
         """Let a run work at this share, from a moment later on."""
         self._paces.append((now + _PACE_SECONDS, key, percent))
 
@@ -258,7 +260,7 @@
         return run.step.size.millicores * part
 
     def _disturb(self, now: float) -> None:
-        fillers = [
+        best_effort_runs = [
             (run.step.image, run.used / self.capacity.millicores)
             for run in self._runs.values()
             if run.step.best_effort_cpu
@@ -270,7 +272,7 @@
             load = self._truth.measure_load(run.step_name, now)
             pressure = sum(
                 self._truth.get_coefficient(run.step.image, image) * part
-                for image, part in fillers
+                for image, part in best_effort_runs
             )
             latency = self._truth.measure_latency(load + pressure)
             run.latency += (latency - run.latency) * self._following
--- a/tools/emulator/yardsticks.py
+++ b/tools/emulator/yardsticks.py
@@ -30,11 +30,11 @@
         """Return a coefficient that leaves no room."""
         return _TOO_MUCH
 
-    def get_bound(self, serving: str, filling: str) -> float:
+    def get_upper_bound(self, serving: str, filling: str) -> float:
         """Return a bound that leaves no room."""
         return _TOO_MUCH
 
-    def get_least(self, serving: str, filling: str) -> float:
+    def get_lower_bound(self, serving: str, filling: str) -> float:
         """Return a coefficient that leaves no room."""
         return _TOO_MUCH
 
@@ -60,7 +60,7 @@
         """Return the true coefficient."""
         return self._truth.get_coefficient(serving, filling)
 
-    def get_bound(self, serving: str, filling: str) -> float:
+    def get_upper_bound(self, serving: str, filling: str) -> float:
         """Return the true coefficient; nothing is in doubt."""
         return self._truth.get_coefficient(serving, filling)
 
@@ -74,20 +74,20 @@
             for ahead in _AHEAD_SECONDS
         )
 
-    def get_least(self, serving: str, filling: str) -> float:
+    def get_lower_bound(self, serving: str, filling: str) -> float:
         """Return the true coefficient; nothing is in doubt."""
         return self._truth.get_coefficient(serving, filling)
 
     def expect_load(self, step_name: str, beside: int) -> float:
         """Return the true mean load, and more beside other steps."""
         shape = self._truth.shape
-        factor = interference.HIGHEST[
-            min(beside, len(interference.HIGHEST)) - 1
+        factor = interference.EXPECTED_MAXIMA[
+            min(beside, len(interference.EXPECTED_MAXIMA)) - 1
         ]
         deviation = shape.mean_load * shape.swing * _SWING_DEVIATION
         return shape.mean_load + factor * deviation
 
-    def estimate_doubt(self) -> float:
+    def estimate_uncertainty(self) -> float:
         """Return what covers the time between two looks."""
         return _LEAST_DOUBT
 
@@ -95,6 +95,6 @@
         """Return the true fullness at which the target is met."""
         return 1 - 1 / self._truth.shape.target_factor
 
-    def estimate_use(self) -> float:
+    def estimate_serving_use(self) -> float:
         """Return the part of declared processors that serving uses."""
         return self._truth.shape.serving_use * self._truth.shape.mean_load
