--- a/src/persimmonsail/auditing/__init__.py
+++ b/src/persimmonsail/auditing/__init__.py
@@ -1,1 +1,1 @@
-"""What happened, told from logs and ledger alone."""
+"""Audits and explanations based on logs and the ledger only."""
--- a/src/persimmonsail/auditing/audit.py
+++ b/src/persimmonsail/auditing/audit.py
@@ -1,4 +1,4 @@
-"""The regulator's command: every promise, from ledger and logs alone."""
+"""The audit command: checks all invariants from ledger and logs only."""
 
 import argparse
 import sys
@@ -22,24 +22,24 @@
 from persimmonsail import store as store_module
 
 _EVIDENCE = 'evidence'
-_SHOWN = 20
+_MAX_FINDINGS_SHOWN = 20
 
 
 async def run(arguments: argparse.Namespace) -> int:
-    """Print a history, or all findings and a verdict for each promise."""
+    """Print a history, or all findings and a verdict per invariant."""
     if arguments.request or arguments.task:
         return _print_history(arguments)
     try:
         page, heads = await _read_store(arguments)
     except exceptions.StoreUnavailable as error:
-        print(f'the store gave no answer: {error}', file=sys.stderr)
+        print(f'the store did not answer: {error}', file=sys.stderr)
         return exits.UNAVAILABLE
     if arguments.save_ledger and page is not None:
         arguments.save_ledger.write_text(chain.dump_page(page))
-    found = evidence.read_logs(arguments.logs)
+    events = evidence.read_logs(arguments.logs)
     case = verdicts.Case(
-        found,
-        chain.rebuild(found, page),
+        events,
+        chain.rebuild(events, page),
         heads,
         tolerances.Tolerances(
             arguments.clock_seconds,
@@ -47,24 +47,24 @@
             arguments.catalogue_seconds,
         ),
     )
-    reports = [judge_evidence(case), *verdicts.run_checks(case)]
-    _print_reading(case, page)
+    reports = [check_evidence(case), *verdicts.run_checks(case)]
+    _print_summary(case, page)
     for report in reports:
         _print_report(report)
     code = choose_exit(reports)
-    print(f'audit={_NAMES[code]}')
+    print(f'audit={_RESULTS[code]}')
     return code
 
 
-_NAMES = {
+_RESULTS = {
     exits.OK: 'ok',
     exits.BROKEN: 'violated',
     exits.EVIDENCE: 'not-shown',
 }
 
 
-def judge_evidence(case: verdicts.Case) -> verdicts.Report:
-    """Return what is wrong with the evidence itself."""
+def check_evidence(case: verdicts.Case) -> verdicts.Report:
+    """Return the faults and gaps in the evidence itself."""
     report = verdicts.Report(_EVIDENCE, "the ledger's chains are whole")
     report.cases = len(case.ledger.chains)
     for faults, findings in (
@@ -74,19 +74,19 @@
         for fault in faults:
             findings.append(
                 verdicts.Finding(
-                    f'partition {fault.partition}', fault.text, fault.places
+                    f'partition {fault.partition}', fault.text, fault.locations
                 )
             )
     if not case.logs.lines:
-        report.miss('logs', 'no line was read')
+        report.add_gap('logs', 'no log line was read')
     return report
 
 
 def choose_exit(reports: list[verdicts.Report]) -> int:
-    """Return the exit code that all reports together ask for.
+    """Return the exit code for all reports.
 
-    A violation counts more than evidence that is broken or missing;
-    broken evidence shows nothing about the promises themselves.
+    A violation takes precedence over broken or missing evidence; broken
+    evidence by itself says nothing about the other invariants.
     """
     violated = {
         report.invariant
@@ -95,8 +95,8 @@
     }
     if violated - {_EVIDENCE}:
         return exits.BROKEN
-    held = all(r.verdict is verdicts.Verdict.HELD for r in reports)
-    return exits.OK if held else exits.EVIDENCE
+    all_held = all(r.verdict is verdicts.Verdict.HELD for r in reports)
+    return exits.OK if all_held else exits.EVIDENCE
 
 
 async def _read_store(
@@ -119,15 +119,15 @@
 
 def _print_history(arguments: argparse.Namespace) -> int:
     subject = arguments.request or arguments.task
-    lines = history.tell(subject, arguments.logs)
+    lines = history.collect_lines(subject, arguments.logs)
     for line in lines:
         print(line)
     if not lines:
-        print(f'no line speaks of {subject}', file=sys.stderr)
+        print(f'no log line mentions {subject}', file=sys.stderr)
     return exits.OK if lines else exits.EVIDENCE
 
 
-def _print_reading(
+def _print_summary(
     case: verdicts.Case, page: store_module.Page | None
 ) -> None:
     fields = {
@@ -143,16 +143,16 @@
 def _print_report(report: verdicts.Report) -> None:
     kinds = (('violation', report.violations), ('gap', report.gaps))
     for kind, findings in kinds:
-        for finding in findings[:_SHOWN]:
+        for finding in findings[:_MAX_FINDINGS_SHOWN]:
             fields = {
                 kind: report.invariant,
                 'subject': finding.subject,
                 'text': finding.text,
-                'places': ','.join(finding.places),
+                'places': ','.join(finding.locations),
             }
             print(logs.format_line(fields))
-        if len(findings) > _SHOWN:
-            more = len(findings) - _SHOWN
+        if len(findings) > _MAX_FINDINGS_SHOWN:
+            more = len(findings) - _MAX_FINDINGS_SHOWN
             print(logs.format_line({kind: report.invariant, 'more': more}))
     fields = {
         'check': report.invariant,
--- a/src/persimmonsail/auditing/audit_capacity.py
+++ b/src/persimmonsail/auditing/audit_capacity.py
@@ -1,7 +1,7 @@
 """The check of commitments: I1.
 
-What is committed is added up anew from what each line says was begun
-and ended; the sidecar's own sum is not asked.
+Commitments are recomputed from the start and end lines of the log; the
+sidecar's own total is not used.
 """
 
 import collections
@@ -11,37 +11,37 @@
 from persimmonsail.auditing import verdicts
 from persimmonsail.decisions import admission
 
-_REFUSED = 'not-run'
-_BEGINS = ('dispatch', 'task-dispatch', 'task-found')
-_ENDS = ('outcome', 'task-ended', 'task-admission', 'commitment-freed')
+_NOT_RUN = 'not-run'
+_BEGIN_EVENTS = ('dispatch', 'task-dispatch', 'task-found')
+_END_EVENTS = ('outcome', 'task-ended', 'task-admission', 'commitment-freed')
 
 
-_DIGITS = 6
+_SIZE_DIGITS = 6
 
 
 @dataclasses.dataclass
 class _Incarnation:
-    """What one incarnation of a sidecar has begun and not ended."""
+    """The open commitments of one incarnation of a sidecar."""
 
     last_seen: float
     total: admission.Size = dataclasses.field(default_factory=admission.Size)
-    held: dict[str, admission.Size] = dataclasses.field(default_factory=dict)
+    sizes: dict[str, admission.Size] = dataclasses.field(default_factory=dict)
 
     def begin(self, holder: str, size: admission.Size) -> None:
-        """Add a holder's size to the total."""
+        """Add the size of a holder to the total."""
         self.end(holder)
-        self.held[holder] = size
+        self.sizes[holder] = size
         self.total = _add(self.total, size, 1)
 
     def end(self, holder: str) -> None:
-        """Take a holder's size out of the total."""
-        if size := self.held.pop(holder, None):
+        """Subtract the size of a holder from the total."""
+        if size := self.sizes.pop(holder, None):
             self.total = _add(self.total, size, -1)
 
 
 @dataclasses.dataclass
 class _Instance:
-    """An instance and all incarnations of its sidecar."""
+    """An instance with all incarnations of its sidecar."""
 
     capacity: admission.Size | None = None
     incarnations: dict[str, _Incarnation] = dataclasses.field(
@@ -49,7 +49,7 @@
     )
 
     def sum_live(self, time: float) -> admission.Size:
-        """Add up what the incarnations alive at a time hold."""
+        """Return the total commitment of the incarnations alive at a time."""
         totals = [
             incarnation.total
             for incarnation in self.incarnations.values()
@@ -58,7 +58,7 @@
         return sum(totals, admission.Size())
 
     def end(self, holder: str) -> None:
-        """Note a holder's end, whichever incarnation began it."""
+        """Release a holder's size, whichever incarnation committed it."""
         for incarnation in self.incarnations.values():
             incarnation.end(holder)
 
@@ -66,56 +66,58 @@
 def _add(
     one: admission.Size, other: admission.Size, sign: int
 ) -> admission.Size:
-    # Rounded at each step, or the sum of a long log would drift.
+    # Rounding each step keeps float errors from adding up in long logs.
     return admission.Size(
-        round(one.cores + sign * other.cores, _DIGITS),
-        round(one.memory_gb + sign * other.memory_gb, _DIGITS),
+        round(one.cores + sign * other.cores, _SIZE_DIGITS),
+        round(one.memory_gb + sign * other.memory_gb, _SIZE_DIGITS),
         one.accelerators + sign * other.accelerators,
     )
 
 
 @verdicts.register('I1', 'no instance is committed beyond its capacity')
 def check_capacity(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Follow what runs on each instance, line by line."""
+    """Replay the commitments of each instance, line by line."""
     instances: dict[str, _Instance] = collections.defaultdict(_Instance)
-    events = case.logs.select('takeover', *_BEGINS, *_ENDS)
+    events = case.logs.select('takeover', *_BEGIN_EVENTS, *_END_EVENTS)
     for event in events:
-        found = instances[event.process].incarnations
-        found[event.get('incarnation')] = _Incarnation(event.time)
+        incarnations = instances[event.process].incarnations
+        incarnations[event.get('incarnation')] = _Incarnation(event.time)
     for event in events:
-        _follow(instances[event.process], event, report)
+        _apply_event(instances[event.process], event, report)
 
 
-def _follow(
+def _apply_event(
     instance: _Instance,
     event: evidence_module.Event,
     report: verdicts.Report,
 ) -> None:
     if event.name == 'takeover':
         instance.capacity = _read_size(event)
-    elif event.name in _BEGINS:
-        holder = _name_holder(event)
-        # A new incarnation finds the tasks that an earlier one began.
+    elif event.name in _BEGIN_EVENTS:
+        holder = _get_holder(event)
+        # A new incarnation adopts the tasks that an earlier one started.
         instance.end(holder)
-        own = instance.incarnations[event.get('incarnation')]
-        own.begin(holder, _read_size(event))
+        incarnation = instance.incarnations[event.get('incarnation')]
+        incarnation.begin(holder, _read_size(event))
         report.cases += 1
-        _check_sum(instance, event, report)
+        _check_total(instance, event, report)
     elif _has_ended(event):
-        instance.end(_name_holder(event))
+        instance.end(_get_holder(event))
 
 
-def _check_sum(
+def _check_total(
     instance: _Instance,
     event: evidence_module.Event,
     report: verdicts.Report,
 ) -> None:
     if instance.capacity is None:
-        report.miss(event.process, 'no line tells its capacity', event)
+        report.add_gap(
+            event.process, 'no log line reports its capacity', event
+        )
         return
     total = instance.sum_live(event.time)
     if not total.fits(instance.capacity):
-        report.violate(
+        report.add_violation(
             event.process,
             f'{_describe(total)} committed of {_describe(instance.capacity)}',
             event,
@@ -124,12 +126,12 @@
 
 def _has_ended(event: evidence_module.Event) -> bool:
     if event.name == 'task-admission':
-        return event.get('verdict') == _REFUSED
+        return event.get('verdict') == _NOT_RUN
     return True
 
 
-def _name_holder(event: evidence_module.Event) -> str:
-    """Return what holds a commitment: an attempt, of either kind."""
+def _get_holder(event: evidence_module.Event) -> str:
+    """Return the holder of a commitment: a request's or task's attempt."""
     return f'{event.get("task")}/{event.get("attempt")}'
 
 
--- a/src/persimmonsail/auditing/audit_catalogue.py
+++ b/src/persimmonsail/auditing/audit_catalogue.py
@@ -7,13 +7,13 @@
 from persimmonsail.auditing import evidence as evidence_module
 from persimmonsail.auditing import verdicts
 
-# An admission names the revision that the sidecar had seen.
-_DECISIONS = ('routing', 'placement', 'admission')
+# An admission line names the last revision the sidecar had received.
+_DECISION_EVENTS = ('routing', 'placement', 'admission')
 
 
 @dataclasses.dataclass(frozen=True)
 class _Change:
-    """An accepted revision and when it is known to have been accepted."""
+    """An accepted revision and the event that dates its acceptance."""
 
     revision: int
     event: evidence_module.Event
@@ -21,79 +21,79 @@
 
 @verdicts.register('I9', 'an accepted change is in force and never reverts')
 def check_catalogue(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Follow each accepted change through every process."""
+    """Check each accepted change against every process."""
     changes = _collect_changes(case, report)
     report.cases = len(changes)
     _check_identity(case, report)
     _check_store(case, report)
-    _check_never_back(case, report)
+    _check_no_rollback(case, report)
     _check_in_force(case, report, changes)
 
 
 def _collect_changes(
     case: verdicts.Case, report: verdicts.Report
 ) -> list[_Change]:
-    found: dict[int, evidence_module.Event] = {}
+    first_events: dict[int, evidence_module.Event] = {}
     for event in case.logs.select('catalogue-accepted'):
-        found.setdefault(event.get_int('revision'), event)
+        first_events.setdefault(event.get_int('revision'), event)
     for event in case.logs.select('catalogue'):
         revision = event.get_int('revision')
-        if revision not in found:
-            report.miss(
+        if revision not in first_events:
+            report.add_gap(
                 f'revision {revision}',
-                'no line tells when it was accepted; its time counts from '
-                'the first process that had it',
+                'no log line reports when it was accepted; the time of the '
+                'first process that applied it is used',
                 event,
             )
-            found[revision] = event
-    return [_Change(r, event) for r, event in sorted(found.items())]
+            first_events[revision] = event
+    return [_Change(r, event) for r, event in sorted(first_events.items())]
 
 
 def _check_identity(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Find two catalogues under one revision."""
+    """Find different catalogues with the same revision."""
     first: dict[int, evidence_module.Event] = {}
     for event in case.logs.select('catalogue-accepted', 'catalogue'):
         if not event.get('id'):
             continue
-        known = first.setdefault(event.get_int('revision'), event)
-        if known.get('id') != event.get('id'):
-            report.violate(
+        earlier = first.setdefault(event.get_int('revision'), event)
+        if earlier.get('id') != event.get('id'):
+            report.add_violation(
                 f'revision {event.get("revision")}',
                 'two catalogues have this revision',
-                known,
+                earlier,
                 event,
             )
 
 
 def _check_store(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Find an accepted change that the store's history lacks."""
+    """Find accepted changes that are missing from the store's history."""
     if case.heads is None:
         return
-    kept = {head.revision: head.id for head in case.heads}
+    stored = {head.revision: head.id for head in case.heads}
     for event in case.logs.select('catalogue-accepted'):
         revision = event.get_int('revision')
-        if kept.get(revision) != event.get('id'):
-            report.violate(
+        if stored.get(revision) != event.get('id'):
+            report.add_violation(
                 f'revision {revision}',
                 'the accepted change is not in the store',
                 event,
             )
 
 
-def _check_never_back(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Find a process that went back, its own restarts included."""
+def _check_no_rollback(case: verdicts.Case, report: verdicts.Report) -> None:
+    """Find processes that reverted, including across a restart."""
     highest: dict[str, evidence_module.Event] = {}
-    for event in case.logs.select('catalogue', *_DECISIONS):
-        known = highest.get(event.process)
+    for event in case.logs.select('catalogue', *_DECISION_EVENTS):
+        earlier = highest.get(event.process)
         revision = event.get_int('revision')
-        if known is None or revision >= known.get_int('revision'):
+        if earlier is None or revision >= earlier.get_int('revision'):
             highest[event.process] = event
         elif revision:
-            report.violate(
+            report.add_violation(
                 event.process,
-                f'it went back to revision {revision} from '
-                f'{known.get("revision")}',
-                known,
+                f'it reverted to revision {revision} from '
+                f'{earlier.get("revision")}',
+                earlier,
                 event,
             )
 
@@ -101,25 +101,25 @@
 def _check_in_force(
     case: verdicts.Case, report: verdicts.Report, changes: list[_Change]
 ) -> None:
-    """Find a decision made under a revision long replaced."""
-    bound = case.tolerances.catalogue + case.tolerances.clock
-    due: list[tuple[float, int, evidence_module.Event]] = sorted(
-        (change.event.time + bound, change.revision, change.event)
+    """Find decisions based on a revision replaced too long before."""
+    max_delay = case.tolerances.catalogue + case.tolerances.clock
+    deadlines: list[tuple[float, int, evidence_module.Event]] = sorted(
+        (change.event.time + max_delay, change.revision, change.event)
         for change in changes
     )
-    times = [time for time, _, _ in due]
-    highest = _accumulate(due)
-    late: dict[tuple[str, int], int] = collections.Counter()
-    for event in case.logs.select(*_DECISIONS):
-        passed = bisect.bisect_left(times, event.time)
-        if not passed:
+    times = [time for time, _, _ in deadlines]
+    highest = _accumulate_highest(deadlines)
+    late_counts: dict[tuple[str, int], int] = collections.Counter()
+    for event in case.logs.select(*_DECISION_EVENTS):
+        expired = bisect.bisect_left(times, event.time)
+        if not expired:
             continue
-        revision, accepted = highest[passed - 1]
-        if event.get_int('revision') >= revision or not _governs(event):
+        revision, accepted = highest[expired - 1]
+        if event.get_int('revision') >= revision or not _starts_work(event):
             continue
-        late[(event.process, revision)] += 1
-        if late[(event.process, revision)] == 1:
-            report.violate(
+        late_counts[(event.process, revision)] += 1
+        if late_counts[(event.process, revision)] == 1:
+            report.add_violation(
                 event.process,
                 f'{event.name} under revision {event.get("revision")}, '
                 f'{event.time - accepted.time:.2f} s after revision '
@@ -129,9 +129,9 @@
             )
 
 
-def _accumulate(due) -> list[tuple[int, evidence_module.Event]]:
+def _accumulate_highest(deadlines) -> list[tuple[int, evidence_module.Event]]:
     highest: list[tuple[int, evidence_module.Event]] = []
-    for _, revision, event in due:
+    for _, revision, event in deadlines:
         if highest and highest[-1][0] > revision:
             highest.append(highest[-1])
         else:
@@ -139,6 +139,6 @@
     return highest
 
 
-def _governs(event: evidence_module.Event) -> bool:
-    """Whether a decision let work run; a refusal needs no catalogue."""
+def _starts_work(event: evidence_module.Event) -> bool:
+    """Whether a decision let work run; refusals need no catalogue."""
     return event.name != 'admission' or event.get('verdict') == 'answered'
--- a/src/persimmonsail/auditing/audit_jobs.py
+++ b/src/persimmonsail/auditing/audit_jobs.py
@@ -6,13 +6,13 @@
 from persimmonsail.auditing import evidence as evidence_module
 from persimmonsail.auditing import verdicts
 
-_ENDS = ('run-ended', 'run-lost', 'run-barred')
+_END_EVENTS = ('run-ended', 'run-lost', 'run-barred')
 _Run = tuple[str, int]
 
 
 @verdicts.register('J1', 'a task of a job never runs in two places')
 def check_single_runs(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Look for runs that began before the one before them had ended."""
+    """Find runs that began before the previous run had ended."""
     clock = case.tolerances.clock
     acknowledged = _find_acknowledged(case.logs)
     ends = _find_first_ends(case.logs)
@@ -24,34 +24,37 @@
             first, second = runs[before], runs[after]
             end = ends.get((task, before))
             if end is None:
-                report.violate(
+                report.add_violation(
                     task,
-                    f'run {after} began, and no end of run {before} is known',
+                    f'run {after} began, and no end of run {before} is logged',
                     first,
                     second,
                 )
             elif end.time > second.time + clock:
-                report.violate(
+                report.add_violation(
                     task,
                     f'run {after} began before the end of run {before}',
                     second,
                     end,
                 )
             elif _is_done(end) and _is_acknowledged(end, acknowledged):
-                report.violate(
-                    task, f'run {after} began after it was done', end, second
+                report.add_violation(
+                    task,
+                    f'run {after} began after the task was done',
+                    end,
+                    second,
                 )
 
 
 @verdicts.register('J2', 'a job is complete only when all of it is done')
 def check_complete_jobs(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Look for complete jobs with a task that never ended as done."""
+    """Find complete jobs with a task that never ended as done."""
     done = {
         event.get('task')
         for event in case.logs.select('run-ended')
         if _is_done(event)
     }
-    # One end stands for a whole gang.
+    # One logged end covers all members of a gang.
     done_steps = {_find_step(task) for task in done}
     placed = collections.defaultdict(dict)
     for event in case.logs.select('placed'):
@@ -61,25 +64,27 @@
         if event.get('phase') != 'complete':
             continue
         report.cases += 1
-        for task, place in placed[event.get('job')].items():
-            gang = place.get('gang') == 'yes'
+        for task, placement in placed[event.get('job')].items():
+            gang = placement.get('gang') == 'yes'
             if task in done or (gang and _find_step(task) in done_steps):
                 continue
-            report.violate(task, 'its job is complete, it is not', event)
+            report.add_violation(
+                task, 'its job is complete, but the task is not', event
+            )
 
 
 @verdicts.register('J3', 'nothing of a cancelled job begins any more')
 def check_cancelled_jobs(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Look for tasks that began long after their job's cancel was kept."""
+    """Find tasks that began too long after their job was cancelled."""
     allowed = case.tolerances.cancel + case.tolerances.clock
-    kept = _find_cancels(case.logs)
-    report.cases += len(kept)
+    cancels = _find_cancels(case.logs)
+    report.cases += len(cancels)
     for start in case.logs.select('started'):
         task = start.get('task')
-        cancel = kept.get(task.partition('.')[0])
+        cancel = cancels.get(task.partition('.')[0])
         if cancel is not None and start.time > cancel.time + allowed:
             late = start.time - cancel.time
-            report.violate(
+            report.add_violation(
                 task,
                 f'run {start.get("run")} began {late:.2f} s after the cancel',
                 cancel,
@@ -90,7 +95,7 @@
 def _find_cancels(
     evidence: evidence_module.Evidence,
 ) -> dict[str, evidence_module.Event]:
-    """Return the first kept cancel of each job."""
+    """Return the first accepted cancel of each job."""
     found: dict[str, evidence_module.Event] = {}
     for event in evidence.select('job-call'):
         if event.get('call') != 'cancel' or event.get('outcome') != 'accepted':
@@ -105,7 +110,7 @@
     evidence: evidence_module.Evidence,
 ) -> dict[_Run, evidence_module.Event]:
     found: dict[_Run, evidence_module.Event] = {}
-    for event in evidence.select(*_ENDS):
+    for event in evidence.select(*_END_EVENTS):
         key = (event.get('task'), event.get_int('run'))
         found.setdefault(key, event)
     return found
@@ -114,7 +119,7 @@
 def _find_acknowledged(
     evidence: evidence_module.Evidence,
 ) -> dict[str, int]:
-    """Return up to where the ends of each boot are committed."""
+    """Return the highest committed end number of each boot."""
     found: dict[str, int] = {}
     for event in evidence.select('ends-acknowledged'):
         boot = event.get('boot')
@@ -125,10 +130,11 @@
 def _is_acknowledged(
     end: evidence_module.Event, acknowledged: t.Mapping[str, int]
 ) -> bool:
-    """Tell whether an end was committed before anything could lose it.
+    """Whether an end was committed to the store and cannot be lost.
 
-    A leader that was lost together with the store and all instances may
-    have read an end that nothing keeps; the task then runs again.
+    A leader may have read an end without committing it. If the leader,
+    the store and all instances then fail together, the end is lost and
+    the task runs again.
     """
     return end.get_int('number') <= acknowledged.get(end.get('boot'), 0)
 
--- a/src/persimmonsail/auditing/audit_requests.py
+++ b/src/persimmonsail/auditing/audit_requests.py
@@ -11,12 +11,12 @@
 
 _NOT_RUN = 'not-run'
 _ANSWERED = 'answered'
-_NO = 'no'
+_NOT_IDEMPOTENT = 'no'
 
 
 @verdicts.register('I4', 'every caller gets the whole answer to its request')
 def check_answers(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Hold each final answer against what the work itself gave."""
+    """Compare each final answer with the outcome of the work."""
     outcomes = case.logs.group('outcome', 'request')
     for event in case.logs.select('answer'):
         # A repeated idempotency key gets the answer of the first request.
@@ -24,11 +24,13 @@
         _check_answer(report, event, outcomes.get(ran_as, []))
     for event in case.logs.select('task-answer'):
         _check_task_answer(case, report, event)
-    _check_one_final(case, report)
+    _check_single_final(case, report)
     for task in case.ledger.history:
         finished = case.ledger.find(task, records.Finished)
         if len(finished) > 1:
-            report.violate(task, f'{len(finished)} final outcomes', *finished)
+            report.add_violation(
+                task, f'{len(finished)} final outcomes', *finished
+            )
 
 
 def _check_answer(
@@ -38,8 +40,8 @@
 ) -> None:
     request = event.get('request')
     if not outcomes:
-        report.miss(
-            request, 'no sidecar shows where the answer came from', event
+        report.add_gap(
+            request, 'no sidecar logged the outcome behind the answer', event
         )
         return
     same = any(
@@ -49,9 +51,9 @@
         for outcome in outcomes
     )
     if not same:
-        report.violate(
+        report.add_violation(
             request,
-            "the caller's answer is not what the backend server gave",
+            "the caller's answer differs from the backend server's",
             event,
             *outcomes,
         )
@@ -64,12 +66,14 @@
     phase = event.get('phase')
     entries = case.ledger.history.get(task, [])
     if not entries:
-        if case.ledger.is_whole(task):
-            report.violate(
+        if case.ledger.is_complete(task):
+            report.add_violation(
                 task, 'an accepted task is not in the ledger', event
             )
         else:
-            report.miss(task, 'the ledger does not show the task', event)
+            report.add_gap(
+                task, 'the task is missing from a ledger with gaps', event
+            )
     if phase not in records.FINAL_PHASES or not entries:
         return
     finished = [e.record for e in case.ledger.find(task, records.Finished)]
@@ -78,18 +82,22 @@
         and logs.digest(record.answer.encode()) == event.get('answer')
         for record in finished
     )
-    if not same and case.ledger.is_whole(task):
-        report.violate(
-            task, "the caller's answer is not the ledger's outcome", event
+    if not same and case.ledger.is_complete(task):
+        report.add_violation(
+            task,
+            "the caller's answer differs from the ledger's outcome",
+            event,
         )
     elif not same:
-        report.miss(task, 'the ledger does not show the outcome', event)
+        report.add_gap(
+            task, 'the outcome is missing from a ledger with gaps', event
+        )
 
 
-def _check_one_final(case: verdicts.Case, report: verdicts.Report) -> None:
+def _check_single_final(case: verdicts.Case, report: verdicts.Report) -> None:
     finals = collections.Counter(
         event.get('request')
-        for event in case.logs.select(*evidence_module.FINALS)
+        for event in case.logs.select(*evidence_module.FINAL_EVENTS)
         if event.get('request')
     )
     stopped = _list_stops(case.logs)
@@ -97,13 +105,17 @@
         report.cases += 1
         request = event.get('request')
         if finals[request] > 1:
-            report.violate(request, f'{finals[request]} final answers', event)
+            report.add_violation(
+                request, f'{finals[request]} final answers', event
+            )
         elif not finals[request] and any(
             stop.time >= event.time for stop in stopped[event.process]
         ):
-            report.violate(request, 'no final answer before the stop', event)
+            report.add_violation(
+                request, 'no final answer before the stop', event
+            )
         elif not finals[request]:
-            report.miss(
+            report.add_gap(
                 request,
                 f'no final answer; {event.process} logged no stop since',
                 event,
@@ -123,7 +135,7 @@
 
 @verdicts.register('I5', 'work refused as not run did not run')
 def check_not_run(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Look for every request refused so in what was sent to run."""
+    """Search the dispatched work for requests refused as not run."""
     dispatches = case.logs.group('dispatch', 'request')
     routings = case.logs.group('routing', 'request')
     for event in case.logs.select('refusal'):
@@ -137,9 +149,9 @@
             _check_not_sent(case, report, event, dispatch)
         for routing in routings.get(request, ()):
             if routing.get('chosen') not in case.logs.processes:
-                report.miss(
+                report.add_gap(
                     request,
-                    f'no log of {routing.get("chosen")} is given',
+                    f'the log of {routing.get("chosen")} is missing',
                     routing,
                 )
         if event.get('task'):
@@ -160,10 +172,12 @@
     return evidence.group('outcome', 'attempt')
 
 
-def was_sent(case: verdicts.Case, dispatch: evidence_module.Event) -> bool:
+def may_have_been_sent(
+    case: verdicts.Case, dispatch: evidence_module.Event
+) -> bool:
     """Whether a dispatched attempt may have reached the backend server.
 
-    It did not only if the connection was never made.
+    Only a connection that was never established rules this out.
     """
     outcome = _find_outcome(case, dispatch.get('attempt'))
     return (
@@ -179,8 +193,8 @@
     refusal: evidence_module.Event,
     dispatch: evidence_module.Event,
 ) -> None:
-    if was_sent(case, dispatch):
-        report.violate(
+    if may_have_been_sent(case, dispatch):
+        report.add_violation(
             refusal.get('request'),
             f'refused as not run, yet sent to {dispatch.process}',
             refusal,
@@ -194,12 +208,12 @@
     task = event.get('task')
     request = event.get('request')
     if not case.ledger.find(task, records.Submitted):
-        if not case.ledger.is_whole(task):
-            report.miss(request, f'the ledger of {task} has gaps', event)
+        if not case.ledger.is_complete(task):
+            report.add_gap(request, f'the ledger of {task} has gaps', event)
         return
     others = case.logs.derive(_group_task_requests).get(task, set())
     if not others - {request}:
-        report.violate(
+        report.add_violation(
             request, f'refused as not run, yet {task} was accepted', event
         )
 
@@ -207,7 +221,7 @@
 def _group_task_requests(
     evidence: evidence_module.Evidence,
 ) -> dict[str, set[str]]:
-    """Return the requests that may have got each task accepted."""
+    """Return, for each task, the requests that may have submitted it."""
     found: dict[str, set[str]] = collections.defaultdict(set)
     for event in evidence.select('task-answer', 'refusal'):
         if event.get('work') != _NOT_RUN and event.get('request'):
@@ -218,15 +232,15 @@
 def _check_refused_starts(
     case: verdicts.Case, report: verdicts.Report
 ) -> None:
-    """Find an attempt said not to have run that its worker has ended."""
+    """Find attempts reported as not run that their worker has ended."""
     for attempts in case.logs.derive(runs_module.collect).values():
         for run in (run for found in attempts.values() for run in found):
             ran = run.phase not in ('', 'absent')
             if run.verdict == _NOT_RUN and ran:
-                report.violate(
+                report.add_violation(
                     run.dispatch.get('task'),
                     f'attempt {run.dispatch.get("attempt")} was refused as '
-                    f'not run, yet the worker shows it {run.phase}',
+                    f'not run, yet the worker reports it {run.phase}',
                     run.dispatch,
                     run.ended,
                 )
@@ -234,16 +248,19 @@
 
 @verdicts.register('I6', 'a non-idempotent request runs at most once')
 def check_at_most_once(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Count what was sent to run, for work that must not run twice."""
+    """Count the dispatches of work that must not run twice."""
     for request, found in case.logs.group('dispatch', 'request').items():
         sent = [
             event
             for event in found
-            if event.get('idempotent') == _NO and was_sent(case, event)
+            if event.get('idempotent') == _NOT_IDEMPOTENT
+            and may_have_been_sent(case, event)
         ]
         report.cases += bool(sent)
         if len({event.get('attempt') for event in sent}) > 1:
-            report.violate(request, f'sent to run {len(sent)} times', *sent)
+            report.add_violation(
+                request, f'sent to run {len(sent)} times', *sent
+            )
     _check_tasks_at_most_once(case, report)
 
 
@@ -260,10 +277,12 @@
         ]
         if not ran:
             continue
-        known = placements.get(task)
-        if known is None:
-            report.miss(task, 'no log shows its placement', ran[0].dispatch)
-        elif runs_module.must_run_once(known[0]):
+        placed = placements.get(task)
+        if placed is None:
+            report.add_gap(
+                task, 'no log line reports its placement', ran[0].dispatch
+            )
+        elif runs_module.must_run_once(placed[0]):
             report.cases += 1
             _check_checkpoints(report, task, ran)
 
@@ -271,18 +290,18 @@
 def _check_checkpoints(
     report: verdicts.Report, task: str, ran: list[runs_module.Run]
 ) -> None:
-    """Let a later attempt only carry an earlier one's work on.
+    """Check that later attempts continue the work of earlier ones.
 
-    Two runs from one checkpoint, or from none, did the same work twice.
+    Two runs from the same checkpoint, or both from none, repeat work.
     """
     first: dict[str, runs_module.Run] = {}
     for run in ran:
         earlier = first.setdefault(run.checkpoint, run)
         if earlier is not run:
-            report.violate(
+            report.add_violation(
                 task,
-                f'attempt {run.dispatch.get("attempt")} ran the work of '
-                f'attempt {earlier.dispatch.get("attempt")} again',
+                f'attempt {run.dispatch.get("attempt")} repeated the work of '
+                f'attempt {earlier.dispatch.get("attempt")}',
                 earlier.dispatch,
                 run.dispatch,
             )
--- a/src/persimmonsail/auditing/audit_stops.py
+++ b/src/persimmonsail/auditing/audit_stops.py
@@ -11,16 +11,16 @@
 
 @verdicts.register('I7', 'a leaving backend server gets no new work')
 def check_leaving(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Look for work chosen for an incarnation that had long left."""
-    bound = case.tolerances.leaving + case.tolerances.clock
-    left = _find_first_stops(case.logs)
-    report.cases = len(left)
+    """Find work sent to an incarnation too long after it began to leave."""
+    max_delay = case.tolerances.leaving + case.tolerances.clock
+    first_stops = _find_first_stops(case.logs)
+    report.cases = len(first_stops)
     for event in case.logs.select(
         'routing', 'placement', 'dispatch', 'task-dispatch'
     ):
-        stop = left.get(event.get('incarnation'))
-        if stop is not None and event.time > stop.time + bound:
-            report.violate(
+        stop = first_stops.get(event.get('incarnation'))
+        if stop is not None and event.time > stop.time + max_delay:
+            report.add_violation(
                 stop.process,
                 f'{event.name} {event.time - stop.time:.2f} s after it '
                 'began to leave',
@@ -32,7 +32,7 @@
 def _find_first_stops(
     evidence: evidence_module.Evidence,
 ) -> dict[str, evidence_module.Event]:
-    """Return when each sidecar's incarnation first said it leaves."""
+    """Return the first stop announcement of each incarnation."""
     found: dict[str, evidence_module.Event] = {}
     for event in evidence.select('stopping', 'leaving'):
         if event.get('incarnation'):
@@ -42,9 +42,9 @@
 
 @verdicts.register('I8', 'a planned stop cuts off no request in flight')
 def check_stops(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Find requests that began before a stop and had no end by it."""
+    """Find requests begun before a stop that did not end before it."""
     requests = _collect_open(
-        case.logs, 'request', evidence_module.FINALS, 'request'
+        case.logs, 'request', evidence_module.FINAL_EVENTS, 'request'
     )
     attempts = _collect_open(case.logs, 'dispatch', ('outcome',), 'attempt')
     stopped = _group_by_process(case.logs.select('stopped'))
@@ -52,20 +52,22 @@
     for stop in case.logs.select('stopping'):
         report.cases += 1
         end = _find_next(stopped.get(stop.process, ()), stop.time)
-        again = _find_next(starts.get(stop.process, ()), stop.time)
-        if end is None or (again and again.time < end.time):
-            report.miss(
-                stop.process, 'it began to stop; its end is not logged', stop
+        restart = _find_next(starts.get(stop.process, ()), stop.time)
+        if end is None or (restart and restart.time < end.time):
+            report.add_gap(
+                stop.process,
+                'it began to stop; the end of the stop is not logged',
+                stop,
             )
             continue
-        begun = _find_last(starts.get(stop.process, ()), stop.time)
-        since = begun.time if begun else 0.0
+        start = _find_last(starts.get(stop.process, ()), stop.time)
+        since = start.time if start else 0.0
         for event in [*requests, *attempts]:
             if event.process == stop.process and since <= event.time:
                 if event.time <= end.time:
-                    report.violate(
+                    report.add_violation(
                         event.get('request'),
-                        f'{stop.process} stopped before its end',
+                        f'{stop.process} stopped before the request ended',
                         event,
                         end,
                     )
@@ -75,9 +77,9 @@
 def _check_cut_off(case: verdicts.Case, report: verdicts.Report) -> None:
     for event in case.logs.select('outcome'):
         if event.get('reason') == _CUT_OFF:
-            report.violate(
+            report.add_violation(
                 event.get('request'),
-                f'{event.process} cut it off when it stopped',
+                f'{event.process} aborted it while stopping',
                 event,
             )
 
@@ -88,7 +90,7 @@
     ends: t.Sequence[str],
     field: str,
 ) -> list[evidence_module.Event]:
-    """Return what began and has no line of its end in its process."""
+    """Return the begin events without an end event of their process."""
     ended = {
         (event.process, event.get(field)) for event in evidence.select(*ends)
     }
--- a/src/persimmonsail/auditing/audit_tasks.py
+++ b/src/persimmonsail/auditing/audit_tasks.py
@@ -1,8 +1,8 @@
 """The checks of tasks: I2, I3, and I6 for tasks.
 
-Orderings are taken from the ledger's positions and the attempts'
-numbers; clocks are compared only between one attempt's end and the
-next one's start, with the stated tolerance.
+Order is derived from ledger positions and attempt numbers. Clocks are
+compared only between the end of one attempt and the start of the next,
+within the configured tolerance.
 """
 
 import itertools
@@ -15,21 +15,23 @@
 from persimmonsail import logs
 
 _EVICTED = 'evicted'
-_DIGITS = 2
+_SECONDS_DIGITS = 2
 
 
 @verdicts.register('I2', 'a task never runs in two places at once')
-def check_single_place(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Hold starts against claims, and attempts against each other."""
+def check_single_placement(
+    case: verdicts.Case, report: verdicts.Report
+) -> None:
+    """Compare starts with claims, and attempts with each other."""
     for task in case.ledger.history:
         _check_claims(case, report, task)
     for task, attempts in case.logs.derive(runs_module.collect).items():
         started = _list_started(attempts)
         report.cases += bool(started)
         for run in started:
-            _check_claimed(case, report, task, run)
+            _check_claim_exists(case, report, task, run)
         for earlier, later in itertools.combinations(started, 2):
-            _check_apart(case, report, task, earlier, later)
+            _check_overlap(case, report, task, earlier, later)
 
 
 def _list_started(
@@ -46,16 +48,16 @@
 def _check_claims(
     case: verdicts.Case, report: verdicts.Report, task: str
 ) -> None:
-    """Find a claim made while an earlier one still stands."""
+    """Find claims made while an earlier one was still in effect."""
     claimed: chain.Entry | None = None
     for entry in case.ledger.history[task]:
         record = entry.record
         if isinstance(record, records.Claimed):
-            if claimed is not None and case.ledger.is_whole(task):
-                report.violate(
+            if claimed is not None and case.ledger.is_complete(task):
+                report.add_violation(
                     task,
                     f'attempt {record.attempt} was claimed while '
-                    f'attempt {claimed.record.attempt} was',
+                    f'attempt {claimed.record.attempt} still was',
                     claimed,
                     entry,
                 )
@@ -64,13 +66,13 @@
             claimed = None
 
 
-def _check_claimed(
+def _check_claim_exists(
     case: verdicts.Case,
     report: verdicts.Report,
     task: str,
     run: runs_module.Run,
 ) -> None:
-    """Find a start that no claim in the ledger stands for."""
+    """Find starts without a matching claim in the ledger."""
     attempt = run.dispatch.get_int('attempt')
     claims = [
         entry
@@ -78,19 +80,19 @@
         if entry.record.attempt == attempt
         and entry.record.instance == run.dispatch.process
     ]
-    if not claims and case.ledger.is_whole(task):
-        report.violate(
+    if not claims and case.ledger.is_complete(task):
+        report.add_violation(
             task,
             f'attempt {attempt} was started on {run.dispatch.process} '
             'without a claim',
             run.dispatch,
         )
     elif not claims:
-        report.miss(
-            task, f'no claim of attempt {attempt} is shown', run.dispatch
+        report.add_gap(
+            task, f'no claim of attempt {attempt} was found', run.dispatch
         )
     elif all(c.epoch != run.dispatch.get_int('epoch') for c in claims):
-        report.violate(
+        report.add_violation(
             task,
             f'attempt {attempt} was started under epoch '
             f'{run.dispatch.get("epoch")}, claimed under {claims[0].epoch}',
@@ -98,51 +100,53 @@
         )
 
 
-def _check_apart(
+def _check_overlap(
     case: verdicts.Case,
     report: verdicts.Report,
     task: str,
     earlier: runs_module.Run,
     later: runs_module.Run,
 ) -> None:
-    """Find two runs of which neither ended before the other began."""
+    """Find two runs that overlap in time."""
     if earlier.dispatch.time > later.dispatch.time:
         earlier, later = later, earlier
     began = later.dispatch.time + case.tolerances.clock
     ended = earlier.ended.time if earlier.ended else float('inf')
-    if began >= min(ended, earlier.lapses_until):
+    if began >= min(ended, earlier.latest_expiry):
         return
-    places = [earlier.dispatch, later.dispatch]
+    lines = [earlier.dispatch, later.dispatch]
     if earlier.ended:
-        places.append(earlier.ended)
+        lines.append(earlier.ended)
     text = (
         f'attempt {later.dispatch.get("attempt")} began on '
         f'{later.dispatch.process} before attempt '
         f'{earlier.dispatch.get("attempt")} ended on '
         f'{earlier.dispatch.process}'
     )
-    if began < min(ended, earlier.lapses_from):
-        missing = min(ended, earlier.lapses_from) - later.dispatch.time
-        report.violate(task, f'{text}, by {missing:.{_DIGITS}f} s', *places)
+    if began < min(ended, earlier.earliest_expiry):
+        overlap = min(ended, earlier.earliest_expiry) - later.dispatch.time
+        report.add_violation(
+            task, f'{text}, by {overlap:.{_SECONDS_DIGITS}f} s', *lines
+        )
     else:
-        report.miss(task, f'it is open whether {text}', *places)
+        report.add_gap(task, f'it cannot be determined whether {text}', *lines)
 
 
 @verdicts.register('I3', 'evicted work resumes exactly once')
 def check_resumption(case: verdicts.Case, report: verdicts.Report) -> None:
-    """Follow each eviction to the one attempt that resumes it."""
+    """Match each eviction with the one attempt that resumes it."""
     attempts = case.logs.derive(runs_module.collect)
     for task, entries in case.ledger.history.items():
         for number, entry in enumerate(entries):
             record = entry.record
             if isinstance(record, records.Released) and record.checkpoint:
                 report.cases += 1
-                rest = [e.record for e in entries[number + 1 :]]
-                _check_resumed(case, report, task, entry, rest)
+                later_records = [e.record for e in entries[number + 1 :]]
+                _check_resumed(case, report, task, entry, later_records)
     for task, found in attempts.items():
         for run in _list_started(found):
             if run.phase == _EVICTED:
-                _check_eviction_kept(case, report, task, run)
+                _check_checkpoint_retained(case, report, task, run)
 
 
 def _check_resumed(
@@ -150,12 +154,12 @@
     report: verdicts.Report,
     task: str,
     eviction: chain.Entry,
-    rest: list[t.Any],
+    later_records: list[t.Any],
 ) -> None:
     following = next(
         (
             record
-            for record in rest
+            for record in later_records
             if not isinstance(record, records.CancelAsked)
         ),
         None,
@@ -164,11 +168,11 @@
     if isinstance(following, records.Claimed):
         _check_resume_point(case, report, task, eviction, following.attempt)
     elif following is None:
-        report.miss(
-            task, f'attempt {attempt} was evicted; it is pending', eviction
+        report.add_gap(
+            task, f'attempt {attempt} was evicted; no resumption yet', eviction
         )
     elif getattr(following, 'phase', '') != records.TaskPhase.CANCELLED:
-        report.violate(
+        report.add_violation(
             task, f'attempt {attempt} was evicted and never resumed', eviction
         )
 
@@ -185,27 +189,27 @@
     started = [r for r in found.get(attempt, ()) if r.may_have_run]
     for run in started:
         if run.checkpoint != expected:
-            report.violate(
+            report.add_violation(
                 task,
                 f'attempt {attempt} did not start from the checkpoint of '
                 f'attempt {eviction.record.attempt}',
                 run.dispatch,
             )
     if len(started) > 1:
-        report.violate(
+        report.add_violation(
             task,
             f'attempt {attempt} resumed the work {len(started)} times',
             *(run.dispatch for run in started),
         )
 
 
-def _check_eviction_kept(
+def _check_checkpoint_retained(
     case: verdicts.Case,
     report: verdicts.Report,
     task: str,
     run: runs_module.Run,
 ) -> None:
-    """Find a worker's eviction whose checkpoint the ledger has lost."""
+    """Find evictions whose checkpoint was not recorded in the ledger."""
     attempt = run.dispatch.get_int('attempt')
     ends = [
         entry.record
@@ -214,26 +218,30 @@
         and entry.record.attempt == attempt
     ]
     if not ends:
-        report.miss(
+        report.add_gap(
             task,
-            f'the ledger does not show the eviction of attempt {attempt}',
+            f'the eviction of attempt {attempt} is not in the ledger',
             run.ended,
         )
         return
     checkpoint = getattr(ends[0], 'checkpoint', '')
     cancelled = getattr(ends[0], 'phase', '') == records.TaskPhase.CANCELLED
-    kept = logs.digest(checkpoint.encode()) == run.ended.get('checkpoint')
-    if not kept and not cancelled and not _came_too_late(run, ends[0]):
-        report.violate(
+    retained = logs.digest(checkpoint.encode()) == run.ended.get('checkpoint')
+    if (
+        not retained
+        and not cancelled
+        and not _arrived_after_lease(run, ends[0])
+    ):
+        report.add_violation(
             task, f'the checkpoint of attempt {attempt} was lost', run.ended
         )
 
 
-def _came_too_late(run: runs_module.Run, end: t.Any) -> bool:
-    """Whether a checkpoint was told of only after its lease was over.
+def _arrived_after_lease(run: runs_module.Run, end: t.Any) -> bool:
+    """Whether a checkpoint was reported only after its lease expired.
 
-    The instance was out of reach for the whole lease; a watcher has
-    gone on elsewhere by then, and can't be resumed a second time.
+    The instance was unreachable for the whole lease; the watcher has
+    been restarted elsewhere by then and must not be resumed again.
     """
-    told_late = run.ended.time > run.lapses_until
-    return told_late and end.reason == records.LEASE_OVER
+    reported_late = run.ended.time > run.latest_expiry
+    return reported_late and end.reason == records.LEASE_OVER
--- a/src/persimmonsail/auditing/chain.py
+++ b/src/persimmonsail/auditing/chain.py
@@ -1,9 +1,9 @@
-"""The ledger rebuilt from logs and store, its hash chain verified.
+"""Rebuilds the ledger from logs and store and verifies its hash chain.
 
-Every ``ledger-commit`` line carries its whole batch, since the ring in
-the store overwrites old ones. Each partition's chain must be whole from
-its first position: a gap, two batches at one position, or a hash that
-does not fit is a finding about the evidence itself.
+Every ``ledger-commit`` line contains its complete batch, since the ring
+buffer in the store overwrites old batches. Each partition's chain must
+be complete from its first position: a gap, two batches at one position
+or a hash mismatch is a finding about the evidence itself.
 """
 
 import collections
@@ -30,45 +30,45 @@
 
 @dataclasses.dataclass(frozen=True)
 class Link:
-    """One batch of the chain and where it was read."""
+    """One batch of the chain and where it was read from."""
 
     batch: records.Batch
     hash: str
-    place: str
+    location: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """One record of a task, with its place in the chain."""
+    """One record of a task, with its position in the chain."""
 
     record: t.Any
     partition: int
     position: int
     epoch: int
-    place: str
+    location: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """Something about the ledger's evidence that does not fit."""
+    """An inconsistency or gap in the evidence of the ledger."""
 
     partition: int
     text: str
-    places: tuple[str, ...] = ()
+    locations: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass
 class Ledgers:
-    """All partitions' chains.
+    """The chains of all partitions.
 
     Attributes
     ----------
     history : dict
-        Every task's records in order of position.
+        The records of each task in order of position.
     faults : list of Fault
         Forks, broken hashes and mismatches with the store.
     gaps : list of Fault
-        Positions that no evidence has.
+        Positions without evidence.
     """
 
     chains: dict[int, dict[int, Link]] = dataclasses.field(
@@ -80,7 +80,7 @@
     faults: list[Fault] = dataclasses.field(default_factory=list)
     gaps: list[Fault] = dataclasses.field(default_factory=list)
 
-    def is_whole(self, task: str) -> bool:
+    def is_complete(self, task: str) -> bool:
         """Whether the chain of a task's partition has no gap or fault."""
         partition = int(task.partition('-')[0] or 0)
         broken = {fault.partition for fault in [*self.gaps, *self.faults]}
@@ -99,13 +99,13 @@
     evidence: evidence_module.Evidence, page: store.Page | None
 ) -> Ledgers:
     """Rebuild all chains from log lines and, if given, the store."""
-    found = Ledgers()
+    ledgers = Ledgers()
     for event in evidence.select('ledger-commit', 'ledger-read'):
-        _add_logged(found, event)
-    snapshots = _add_stored(found, page) if page is not None else {}
-    for partition in sorted(found.chains.keys() | snapshots.keys()):
-        _verify(found, partition, snapshots.get(partition))
-    return found
+        _add_logged(ledgers, event)
+    snapshots = _add_stored(ledgers, page) if page is not None else {}
+    for partition in sorted(ledgers.chains.keys() | snapshots.keys()):
+        _verify(ledgers, partition, snapshots.get(partition))
+    return ledgers
 
 
 def read_page(text: str) -> store.Page:
@@ -118,52 +118,52 @@
     return _PAGE.dump_json(page, indent=1).decode()
 
 
-def _add_logged(found: Ledgers, event: evidence_module.Event) -> None:
+def _add_logged(ledgers: Ledgers, event: evidence_module.Event) -> None:
     partition = event.get_int('partition')
     text = event.get('batch')
-    link = _read_link(found, partition, text, event.place)
+    link = _read_link(ledgers, partition, text, event.location)
     if link is None:
         return
     if link.hash != event.get('hash'):
-        found.faults.append(
+        ledgers.faults.append(
             Fault(
                 partition,
-                f"position {link.batch.position}: the line's hash is not "
-                "its batch's",
-                (event.place,),
+                f'position {link.batch.position}: the hash of the line does '
+                'not match its batch',
+                (event.location,),
             )
         )
-    _add_link(found, partition, link)
+    _add_link(ledgers, partition, link)
 
 
 def _read_link(
-    found: Ledgers, partition: int, text: str, place: str
+    ledgers: Ledgers, partition: int, text: str, location: str
 ) -> Link | None:
     try:
         batch = records.load_batch(text)
     except pydantic.ValidationError:
-        found.faults.append(
-            Fault(partition, 'a batch cannot be read', (place,))
+        ledgers.faults.append(
+            Fault(partition, 'a batch cannot be read', (location,))
         )
         return None
-    return Link(batch, records.hash_text(text), place)
+    return Link(batch, records.hash_text(text), location)
 
 
-def _add_link(found: Ledgers, partition: int, link: Link) -> None:
-    chain = found.chains[partition]
-    known = chain.setdefault(link.batch.position, link)
-    if known.hash != link.hash:
-        found.faults.append(
+def _add_link(ledgers: Ledgers, partition: int, link: Link) -> None:
+    chain = ledgers.chains[partition]
+    existing = chain.setdefault(link.batch.position, link)
+    if existing.hash != link.hash:
+        ledgers.faults.append(
             Fault(
                 partition,
                 f'two batches at position {link.batch.position}',
-                (known.place, link.place),
+                (existing.location, link.location),
             )
         )
 
 
 def _add_stored(
-    found: Ledgers, page: store.Page
+    ledgers: Ledgers, page: store.Page
 ) -> dict[int, ledger.Snapshot]:
     snapshots = {}
     for item in page.items:
@@ -171,22 +171,22 @@
         if key is None:
             continue
         partition = int(key['partition'])
-        place = f'store:{item.key}'
+        location = f'store:{item.key}'
         if key['snapshot']:
             snapshots[partition] = _SNAPSHOT.validate_json(item.value)
-        elif link := _read_link(found, partition, item.value, place):
-            _add_link(found, partition, link)
+        elif link := _read_link(ledgers, partition, item.value, location):
+            _add_link(ledgers, partition, link)
     return snapshots
 
 
 def _verify(
-    found: Ledgers, partition: int, snapshot: ledger.Snapshot | None
+    ledgers: Ledgers, partition: int, snapshot: ledger.Snapshot | None
 ) -> None:
-    chain = found.chains[partition]
+    chain = ledgers.chains[partition]
     last = max(chain, default=0)
     if snapshot is not None:
         last = max(last, snapshot.position)
-    _find_gaps(found, partition, last)
+    _find_gaps(ledgers, partition, last)
     previous = ledger.GENESIS
     for position in range(1, last + 1):
         link = chain.get(position)
@@ -194,24 +194,24 @@
             previous = None
             continue
         if previous is not None and link.batch.previous != previous:
-            found.faults.append(
+            ledgers.faults.append(
                 Fault(
                     partition,
                     f'the chain is broken at position {position}',
-                    (link.place,),
+                    (link.location,),
                 )
             )
         previous = link.hash
-        _add_history(found, partition, link)
+        _add_history(ledgers, partition, link)
     if snapshot is not None:
-        _compare_snapshot(found, partition, snapshot)
+        _compare_snapshot(ledgers, partition, snapshot)
 
 
-def _find_gaps(found: Ledgers, partition: int, last: int) -> None:
-    chain = found.chains[partition]
+def _find_gaps(ledgers: Ledgers, partition: int, last: int) -> None:
+    chain = ledgers.chains[partition]
     missing = [p for p in range(1, last + 1) if p not in chain]
     if missing:
-        found.gaps.append(
+        ledgers.gaps.append(
             Fault(
                 partition,
                 f'no evidence of {len(missing)} of {last} positions, '
@@ -220,33 +220,37 @@
         )
 
 
-def _add_history(found: Ledgers, partition: int, link: Link) -> None:
+def _add_history(ledgers: Ledgers, partition: int, link: Link) -> None:
     for record in link.batch.records:
         task = getattr(record, 'task', None)
         if task is None:
             continue
-        found.history[task].append(
+        ledgers.history[task].append(
             Entry(
                 record,
                 partition,
                 link.batch.position,
                 link.batch.epoch,
-                link.place,
+                link.location,
             )
         )
 
 
 def _compare_snapshot(
-    found: Ledgers, partition: int, snapshot: ledger.Snapshot
+    ledgers: Ledgers, partition: int, snapshot: ledger.Snapshot
 ) -> None:
-    place = (f'store:{PREFIX}{partition:03d}/snapshot',)
-    chain = found.chains[partition]
+    locations = (f'store:{PREFIX}{partition:03d}/snapshot',)
+    chain = ledgers.chains[partition]
     link = chain.get(snapshot.position)
     if link is not None and link.hash != snapshot.hash:
-        found.faults.append(
-            Fault(partition, 'the snapshot has another chain', place)
+        ledgers.faults.append(
+            Fault(
+                partition,
+                'the snapshot belongs to a different chain',
+                locations,
+            )
         )
-    broken = {fault.partition for fault in [*found.gaps, *found.faults]}
+    broken = {fault.partition for fault in [*ledgers.gaps, *ledgers.faults]}
     if partition in broken:
         return
     table = tasks.Table()
@@ -255,13 +259,13 @@
             try:
                 table.apply(record)
             except exceptions.LedgerCorrupt:
-                # The checks name the record that does not fit.
+                # The checks of the invariants report this record.
                 return
     if table != tasks.load_table(snapshot.table):
-        found.faults.append(
+        ledgers.faults.append(
             Fault(
                 partition,
-                'the snapshot is not what the chain adds up to',
-                place,
+                'the snapshot differs from the replayed chain',
+                locations,
             )
         )
--- a/src/persimmonsail/auditing/evidence.py
+++ b/src/persimmonsail/auditing/evidence.py
@@ -1,7 +1,7 @@
-"""What an audit reads: the decision logs of all processes, as events.
+"""Reads the decision logs of all processes as events.
 
-Files are read line by line, and only the kinds of events that a check
-asks for are kept, so that logs may be larger than memory.
+Files are read line by line, and only events that a check uses are
+retained, so that logs may be larger than memory.
 """
 
 import collections
@@ -13,8 +13,8 @@
 
 from persimmonsail import logs
 
-# Every kind of event that a check or the ledger's chain is built from.
-KEPT = frozenset(
+# The events used by the checks or to rebuild the ledger's chains.
+AUDITED_EVENTS = frozenset(
     {
         'admission',
         'answer',
@@ -52,8 +52,8 @@
         'task-found',
     }
 )
-# A caller's request ends with exactly one of these.
-FINALS = (
+# A caller's request ends with exactly one of these events.
+FINAL_EVENTS = (
     'answer',
     'refusal',
     'request-error',
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One log line; ``time`` is in seconds of its process's own clock."""
+    """One log line; ``time`` is in seconds of the process's own clock."""
 
     name: str
     process: str
@@ -76,33 +76,33 @@
     line: int
 
     @property
-    def place(self) -> str:
-        """Where the line stands."""
+    def location(self) -> str:
+        """The file and line number."""
         return f'{self.file}:{self.line}'
 
     def get(self, field: str) -> str:
-        """Return a field; empty if the line has none of this name."""
+        """Return a field; empty if it is missing."""
         return self.fields.get(field, '')
 
     def get_int(self, field: str) -> int:
-        """Return a field as a whole number; zero if it has none."""
+        """Return a field as an integer; zero if it is missing or empty."""
         return int(self.fields.get(field) or 0)
 
     def get_float(self, field: str) -> float:
-        """Return a field as a number; zero if it has none."""
+        """Return a field as a float; zero if it is missing or empty."""
         return float(self.fields.get(field) or 0)
 
 
 @dataclasses.dataclass
 class Evidence:
-    """All kept events of all processes, by kind and in order of time.
+    """The audited events of all processes, by name and in order of time.
 
     Attributes
     ----------
     processes : set of str
-        The processes that any line speaks for.
+        The processes that wrote any audited event.
     lines, unparsed : int
-        How many lines were read, and how many were no events.
+        The numbers of lines read and of lines that were no events.
     """
 
     processes: set[str] = dataclasses.field(default_factory=set)
@@ -114,39 +114,39 @@
     _derived: dict[t.Any, t.Any] = dataclasses.field(default_factory=dict)
 
     def add(self, event: Event) -> None:
-        """Take one event in."""
+        """Add one event."""
         self.processes.add(event.process)
         self._by_name[event.name].append(event)
 
     def sort(self) -> None:
-        """Order by time; one process's lines keep their order in ties."""
+        """Sort by time; lines with equal times keep their order."""
         for events in self._by_name.values():
             events.sort(key=lambda event: event.time)
 
     def select(self, *names: str) -> list[Event]:
-        """Return the events of the given kinds, in order of time."""
+        """Return the events with the given names, in order of time."""
         if len(names) == 1:
             return self._by_name.get(names[0], [])
-        found = [e for name in names for e in self._by_name.get(name, ())]
-        found.sort(key=lambda event: event.time)
-        return found
+        events = [e for name in names for e in self._by_name.get(name, ())]
+        events.sort(key=lambda event: event.time)
+        return events
 
     def group(self, name: str, field: str) -> dict[str, list[Event]]:
-        """Return the events of one kind by the value of a field."""
-        found: dict[str, list[Event]] = collections.defaultdict(list)
+        """Return the events of one name, grouped by the value of a field."""
+        events: dict[str, list[Event]] = collections.defaultdict(list)
         for event in self.select(name):
-            found[event.get(field)].append(event)
-        return found
+            events[event.get(field)].append(event)
+        return events
 
-    def derive(self, make: t.Callable[['Evidence'], _D]) -> _D:
-        """Return what ``make`` builds from this evidence, built once."""
-        if make not in self._derived:
-            self._derived[make] = make(self)
-        return self._derived[make]
+    def derive(self, build: t.Callable[['Evidence'], _D]) -> _D:
+        """Return the cached result of ``build`` for this evidence."""
+        if build not in self._derived:
+            self._derived[build] = build(self)
+        return self._derived[build]
 
 
 def read_logs(paths: t.Iterable[pathlib.Path]) -> Evidence:
-    """Read log files; lines that are no events are counted only."""
+    """Read log files; lines that are no events are only counted."""
     evidence = Evidence()
     for path in paths:
         with path.open(encoding='utf-8', errors='replace') as file:
@@ -162,7 +162,7 @@
     if name is None:
         evidence.unparsed += 1
         return
-    if name[1] not in KEPT:
+    if name[1] not in AUDITED_EVENTS:
         return
     event = read_event(line, file, number)
     if event is None:
@@ -172,7 +172,7 @@
 
 
 def read_event(line: str, file: str, number: int) -> Event | None:
-    """Read one log line; nothing if it is no event."""
+    """Parse one log line; None if it is no event."""
     try:
         fields = logs.parse_line(line)
         return Event(
--- a/src/persimmonsail/auditing/explanation.py
+++ b/src/persimmonsail/auditing/explanation.py
@@ -1,8 +1,8 @@
-"""Why a job was turned away, late or failed, from the logs alone.
+"""Explains from logs only why a job was refused, was late or failed.
 
-All lines about the job are told in order over all processes; then each
-rule looks for the cause that it knows. A rule names the line that decided
-it, so that whoever reads the answer can check it.
+All lines about the job are printed in order of time across processes;
+then each rule searches for one kind of cause. Each cause names the log
+line it is based on, so that a reader can verify it.
 """
 
 import argparse
@@ -16,26 +16,28 @@
 from persimmonsail.auditing import history
 from persimmonsail import exits
 
-# A store that was lost this long before a refusal explains it: what an
-# entry believes of it is at most a second old, and outages last seconds.
-_STORE_SECONDS = 20.0
-# A job that was seen so much after its acceptance had no leader.
-_UNSEEN_MS = 1000.0
-_CONTEXT = frozenset({'store-lost', 'store-regained', 'leading', 'starting'})
-# Where a task failed on so many instances, none of them is to blame.
-_INSTANCES_TO_CLEAR = 2
+# A loss of the store explains a refusal up to this much later: an entry's
+# view of the store is at most a second old, and outages last seconds.
+_STORE_LOSS_WINDOW_SECONDS = 20.0
+# A job first observed later than this after its acceptance had no leader.
+_MIN_DELAY_MS = 1000.0
+_CONTEXT_EVENTS = frozenset(
+    {'store-lost', 'store-regained', 'leading', 'starting'}
+)
+# A task that failed on this many instances is itself at fault.
+_MIN_INSTANCES_FOR_JOB_FAULT = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class Cause:
-    """What a rule found.
+    """A cause that a rule found.
 
     Attributes
     ----------
     text : str
-        The cause in a sentence.
-    event : persimmonsail.evidence.Event
-        The line that decided it.
+        A one-line description.
+    event : persimmonsail.auditing.evidence.Event
+        The log line that the cause is based on.
     """
 
     text: str
@@ -44,21 +46,21 @@
 
 @dataclasses.dataclass
 class Case:
-    """What a rule looks at.
+    """The events that the rules examine.
 
     Attributes
     ----------
-    events : list of persimmonsail.evidence.Event
-        Of the job and its tasks, in order of time.
-    context : list of persimmonsail.evidence.Event
-        What processes said of the store, the leader and themselves.
+    events : list of persimmonsail.auditing.evidence.Event
+        Events of the job and its tasks, in order of time.
+    context : list of persimmonsail.auditing.evidence.Event
+        Events about the store, the leader and process starts.
     """
 
     events: list[evidence.Event]
     context: list[evidence.Event]
 
     def select(self, name: str, **fields: str) -> list[evidence.Event]:
-        """Return the job's events of one kind with these fields."""
+        """Return the job's events with this name and these fields."""
         return [
             event
             for event in self.events
@@ -72,30 +74,32 @@
 
 
 def register(rule: _Rule) -> _Rule:
-    """Add a rule to those that are asked, in order."""
+    """Add a rule; rules run in the order of registration."""
     _RULES.append(rule)
     return rule
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print a job's history and the causes that the rules found."""
-    lines = history.tell(arguments.id, arguments.logs)
+    """Print the history of a job and the causes found by the rules."""
+    lines = history.collect_lines(arguments.id, arguments.logs)
     if not lines:
-        print(f'no line names {arguments.id}', file=sys.stderr)
+        print(f'no log line mentions {arguments.id}', file=sys.stderr)
         return exits.INVALID_INPUT
     print('\n'.join(lines))
     causes = find_causes(read_case(arguments.id, arguments.logs))
     for cause in causes:
         event = cause.event
         print(f'cause: {cause.text}')
-        print(f'  decided by {event.name} of {event.process}, {event.place}')
+        print(
+            f'  decided by {event.name} of {event.process}, {event.location}'
+        )
     if not causes:
-        print('cause: none that is known; read the lines above')
+        print('cause: no rule matched; see the lines above')
     return exits.OK
 
 
 def read_case(id: str, paths: t.Iterable[pathlib.Path]) -> Case:
-    """Read what the rules need of a job."""
+    """Read the events of a job and their context."""
     case = Case([], [])
     for path in paths:
         with path.open(encoding='utf-8', errors='replace') as file:
@@ -106,7 +110,7 @@
                 task = event.get('task')
                 if event.get('job') == id or task.startswith(f'{id}.'):
                     case.events.append(event)
-                elif event.name in _CONTEXT:
+                elif event.name in _CONTEXT_EVENTS:
                     case.context.append(event)
     case.events.sort(key=lambda event: event.time)
     case.context.sort(key=lambda event: event.time)
@@ -114,18 +118,18 @@
 
 
 def find_causes(case: Case) -> list[Cause]:
-    """Ask all rules."""
+    """Apply all rules."""
     return [cause for rule in _RULES for cause in rule(case)]
 
 
 @register
 def _find_refusal(case: Case) -> t.Iterator[Cause]:
-    """Find why a caller heard no or nothing certain."""
+    """Find why a submission was refused or its outcome is unknown."""
     for event in case.select('job-call', call='submit'):
         outcome = event.get('outcome')
         if outcome == 'invalid':
             yield Cause(
-                f'the submission is wrong: {event.get("error")}', event
+                f'the submission is invalid: {event.get("error")}', event
             )
         if outcome not in ('refused', 'unknown'):
             continue
@@ -147,7 +151,7 @@
     for other in case.context:
         if other.process != event.process or other.time > event.time + 1.0:
             continue
-        if event.time - other.time > _STORE_SECONDS:
+        if event.time - other.time > _STORE_LOSS_WINDOW_SECONDS:
             continue
         if other.name == 'store-lost':
             lost = other
@@ -158,19 +162,19 @@
 
 @register
 def _find_failure(case: Case) -> t.Iterator[Cause]:
-    """Tell whether the job or an instance made it fail."""
+    """Determine whether the job or an instance caused the failure."""
     failures = collections.defaultdict(list)
     for event in case.select('run-ended', how='failed'):
         failures[event.get('task')].append(event)
     if not failures or not case.select('job-phase', phase='failed'):
         return
     task, events = max(failures.items(), key=lambda item: len(item[1]))
-    places = {event.get('instance') for event in events}
+    instances = {event.get('instance') for event in events}
     text = 'the job is to blame'
-    if len(places) < _INSTANCES_TO_CLEAR:
-        text = 'look at that instance'
+    if len(instances) < _MIN_INSTANCES_FOR_JOB_FAULT:
+        text = 'inspect that instance'
     yield Cause(
-        f'failed: {task} failed {len(events)} times on {len(places)} '
+        f'failed: {task} failed {len(events)} times on {len(instances)} '
         f'instances: {text}',
         events[-1],
     )
@@ -178,23 +182,23 @@
 
 @register
 def _find_crashes(case: Case) -> t.Iterator[Cause]:
-    """Tell that a task crashed the agents that started it."""
+    """Find tasks that crashed the agents that started them."""
     for event in case.select('job-given-up'):
         task = event.get('task')
         crashes = case.select('crash-counted', task=task)
-        places = {other.get('instance') for other in crashes}
+        instances = {other.get('instance') for other in crashes}
         yield Cause(
             f'failed: {task} crashed {event.get("crashes")} agents that '
-            f'started it, on {len(places)} instances: the job is to blame',
+            f'started it, on {len(instances)} instances: the job is to blame',
             event,
         )
 
 
 @register
 def _find_absent_leader(case: Case) -> t.Iterator[Cause]:
-    """Find a time without a leader that saw it."""
+    """Find a period in which no leader observed the job."""
     for event in case.select('job-seen'):
-        if event.get_float('age_ms') <= _UNSEEN_MS:
+        if event.get_float('age_ms') <= _MIN_DELAY_MS:
             continue
         seconds = event.get_float('age_ms') / 1000
         leading = [
@@ -202,46 +206,46 @@
             for other in case.context
             if other.name == 'leading' and other.time <= event.time
         ]
-        text = f'late: no leader saw it for {seconds:.1f} s'
+        text = f'late: no leader observed it for {seconds:.1f} s'
         yield Cause(text, leading[-1] if leading else event)
 
 
 @register
 def _find_lost_runs(case: Case) -> t.Iterator[Cause]:
-    """Find work that was lost with its instance."""
+    """Find runs that were lost with their instance."""
     lost = case.select('run-lost')
     lost += case.select('run-ended', how='lapsed')
     if lost:
-        places = sorted({event.get('instance') for event in lost})
+        instances = sorted({event.get('instance') for event in lost})
         yield Cause(
-            f'late: {len(lost)} runs were lost with {", ".join(places)}',
+            f'late: {len(lost)} runs were lost with {", ".join(instances)}',
             lost[-1],
         )
 
 
 @register
-def _find_disturbance(case: Case) -> t.Iterator[Cause]:
-    """Find tasks that had to give way to what serves beside them."""
-    slowed = case.select('paced', percent='0')
+def _find_interference(case: Case) -> t.Iterator[Cause]:
+    """Find tasks stopped or moved because of colocated serving tasks."""
+    throttled = case.select('paced', percent='0')
     starved = case.select('evicted', reason='starved')
-    if slowed or starved:
+    if throttled or starved:
         yield Cause(
-            f'late: tasks were stopped {len(slowed)} times and moved '
+            f'late: tasks were stopped {len(throttled)} times and moved '
             f'{len(starved)} times for what serves beside them',
-            (slowed + starved)[-1],
+            (throttled + starved)[-1],
         )
 
 
 @register
-def _find_wait_for_room(case: Case) -> t.Iterator[Cause]:
-    """Find a long wait for the first place."""
-    seen = case.select('job-seen')
+def _find_capacity_wait(case: Case) -> t.Iterator[Cause]:
+    """Find a long wait for the first placement."""
+    observed = case.select('job-seen')
     placed = case.select('placed')
-    if not seen or not placed:
+    if not observed or not placed:
         return
-    seconds = placed[0].time - seen[0].time
-    if seconds > _UNSEEN_MS / 1000:
+    seconds = placed[0].time - observed[0].time
+    if seconds > _MIN_DELAY_MS / 1000:
         yield Cause(
-            f'late: it waited {seconds:.1f} s for its first place',
+            f'late: it waited {seconds:.1f} s for its first placement',
             placed[0],
         )
--- a/src/persimmonsail/auditing/history.py
+++ b/src/persimmonsail/auditing/history.py
@@ -1,4 +1,4 @@
-"""The whole history of one request or one task, from the logs."""
+"""The complete history of one request or task, from the logs."""
 
 import pathlib
 import typing as t
@@ -7,35 +7,35 @@
 from persimmonsail.bookkeeping import records
 from persimmonsail import logs
 
-_LEDGER = ('ledger-commit', 'ledger-read')
-_LINKS = ('attempt', 'task', 'request')
-_HIDDEN = ('batch', 'level')
-_MIN_LENGTH = 16
+_LEDGER_EVENTS = ('ledger-commit', 'ledger-read')
+_LINK_FIELDS = ('attempt', 'task', 'request')
+_HIDDEN_FIELDS = ('batch', 'level')
+_MIN_ID_LENGTH = 16
 
 
-def tell(subject: str, paths: t.Sequence[pathlib.Path]) -> list[str]:
-    """Return every line about a request or task, in order of time.
+def collect_lines(subject: str, paths: t.Sequence[pathlib.Path]) -> list[str]:
+    """Return all lines about a request or task, in order of time.
 
     The logs are read twice: lines that name the subject also name its
-    attempts and its task, whose own lines belong to its history too.
+    attempts and its task, and the history includes the lines of these.
 
     Parameters
     ----------
     subject : str
-        A request's or a task's identifier.
+        The identifier of a request or task.
     paths : sequence of pathlib.Path
         The logs of all processes.
 
     Returns
     -------
     list of str
-        Readable lines; empty if none speaks of the subject.
+        Readable lines; empty if none mentions the subject.
     """
     names = {subject}
     for event in _read(paths, names):
-        for field in _LINKS:
-            # A task's attempts are small numbers, which name nothing.
-            if len(event.get(field)) >= _MIN_LENGTH:
+        for field in _LINK_FIELDS:
+            # A task's attempt numbers are small and identify nothing.
+            if len(event.get(field)) >= _MIN_ID_LENGTH:
                 names.add(event.get(field))
     found = [
         (event.time, line)
@@ -61,11 +61,11 @@
 
 def _describe(event: evidence.Event, names: set[str]) -> t.Iterator[str]:
     head = f'{event.time:.6f} {event.process} {event.name}'
-    if event.name not in _LEDGER:
+    if event.name not in _LEDGER_EVENTS:
         fields = {
             key: value
             for key, value in event.fields.items()
-            if key not in _HIDDEN and value
+            if key not in _HIDDEN_FIELDS and value
         }
         yield f'{head} {logs.format_line(fields)}'
         return
--- a/src/persimmonsail/auditing/tolerances.py
+++ b/src/persimmonsail/auditing/tolerances.py
@@ -1,23 +1,23 @@
-"""How far an audit lets times differ; kept apart, to load fast."""
+"""Time tolerances of an audit, in their own module to load fast."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Tolerances:
-    """Times in seconds that the checks allow for.
+    """Tolerances of the checks in seconds.
 
     Attributes
     ----------
     clock : float
-        How far the clocks of two processes may differ.
+        Maximum clock difference between two processes.
     leaving : float
-        How long after its announcement a leaving backend server may
-        still be chosen.
+        How long after announcing its stop a backend server may still
+        be chosen.
     catalogue : float
-        How long after its acceptance a change may not be in force.
+        How long after its acceptance a change may take to be in force.
     cancel : float
-        How long after its cancel was kept tasks of a job may still begin.
+        How long after its cancel was accepted a job may still start tasks.
     """
 
     clock: float = 0.25
--- a/src/persimmonsail/auditing/verdicts.py
+++ b/src/persimmonsail/auditing/verdicts.py
@@ -1,4 +1,4 @@
-"""What an audit finds: a verdict for each invariant, with its evidence."""
+"""The results of an audit: a verdict and findings per invariant."""
 
 import dataclasses
 import enum
@@ -11,41 +11,41 @@
 
 
 class Verdict(enum.StrEnum):
-    """Whether an invariant is shown to have held."""
+    """Whether the evidence shows that an invariant held."""
 
     HELD = 'held'
     VIOLATED = 'violated'
     NOT_SHOWN = 'not-shown'
 
 
-class Placed(t.Protocol):
-    """What a finding can point to: a log line or a ledger's record."""
+class Located(t.Protocol):
+    """Evidence that a finding refers to: a log line or ledger record."""
 
     @property
-    def place(self) -> str:
-        """Where it stands: file and line, or the store's key."""
+    def location(self) -> str:
+        """The file and line number, or the store key."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """One subject that an invariant did not hold for, or may not have."""
+    """A subject that violates, or may violate, an invariant."""
 
     subject: str
     text: str
-    places: tuple[str, ...] = ()
+    locations: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass
 class Report:
-    """What one check found.
+    """The result of one check.
 
     Attributes
     ----------
     cases : int
-        How many subjects the evidence speaks of; an invariant that
-        held for none has not been put to the test.
+        The number of subjects checked; with none, a verdict of ``held``
+        shows nothing.
     violations, gaps : list of Finding
-        What is shown to be wrong, and what the evidence leaves open.
+        Proven violations, and subjects with insufficient evidence.
     """
 
     invariant: str
@@ -56,27 +56,29 @@
 
     @property
     def verdict(self) -> Verdict:
-        """The verdict that follows from all findings."""
+        """The verdict derived from all findings."""
         if self.violations:
             return Verdict.VIOLATED
         return Verdict.NOT_SHOWN if self.gaps else Verdict.HELD
 
-    def violate(self, subject: str, text: str, *lines: Placed) -> None:
-        """Note that the invariant did not hold for a subject."""
-        self.violations.append(_find(subject, text, lines))
+    def add_violation(self, subject: str, text: str, *lines: Located) -> None:
+        """Record that the invariant did not hold for a subject."""
+        self.violations.append(_make_finding(subject, text, lines))
 
-    def miss(self, subject: str, text: str, *lines: Placed) -> None:
-        """Note that the evidence does not show it for a subject."""
-        self.gaps.append(_find(subject, text, lines))
+    def add_gap(self, subject: str, text: str, *lines: Located) -> None:
+        """Record that the evidence for a subject is insufficient."""
+        self.gaps.append(_make_finding(subject, text, lines))
 
 
-def _find(subject: str, text: str, lines: t.Iterable[Placed]) -> Finding:
-    return Finding(subject, text, tuple(line.place for line in lines))
+def _make_finding(
+    subject: str, text: str, lines: t.Iterable[Located]
+) -> Finding:
+    return Finding(subject, text, tuple(line.location for line in lines))
 
 
 @dataclasses.dataclass
 class Case:
-    """All that a check may look at; ``heads`` is the store's history."""
+    """The input of a check; ``heads`` is the catalogue history."""
 
     logs: evidence_module.Evidence
     ledger: chain_module.Ledgers
@@ -89,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Registered:
-    """A check and the invariant's title."""
+    """A check and the title of its invariant."""
 
     title: str
     check: Check
@@ -99,7 +101,7 @@
 
 
 def register(invariant: str, title: str) -> t.Callable[[Check], Check]:
-    """Add the check of one invariant."""
+    """Register the check of one invariant."""
 
     def add(check: Check) -> Check:
         CHECKS[invariant] = Registered(title, check)
@@ -109,7 +111,7 @@
 
 
 def run_checks(case: Case) -> list[Report]:
-    """Run every registered check, in the brief's order."""
+    """Run all registered checks in the order of their invariants."""
     reports = []
     for invariant, registered in sorted(CHECKS.items()):
         report = Report(invariant, registered.title)
--- a/tests/auditing/test_explanation.py
+++ b/tests/auditing/test_explanation.py
@@ -12,10 +12,10 @@
 
 
 class ExplanationTest(base.TestCase):
-    """Somebody on call has a job's id, the logs, and nothing else."""
+    """Explains a job from its id and the logs only."""
 
     def write(self, *events):
-        """Write one file a process, as the processes would."""
+        """Write one log file per process."""
         directory = self.make_directory()
         lines = {}
         for at, process, name, fields in events:
@@ -43,43 +43,43 @@
             for cause in explanation.find_causes(case)
         ]
 
-    def test_a_refused_job_names_the_store_that_was_lost(self):
+    def test_a_refused_job_names_the_loss_of_the_store(self):
         refused = {'call': 'submit', 'job': JOB, 'outcome': 'refused'}
-        found = self.explain(
+        causes = self.explain(
             (1, 'entry-2', 'store-lost', {'error': 'other'}),
             (3, 'entry-1', 'store-lost', {'error': 'ReadTimeout'}),
             (5, 'entry-1', 'job-call', refused),
             (6, 'entry-1', 'store-regained', {}),
         )
-        ((text, event),) = found
+        ((text, event),) = causes
         self.assertIn('lost the store 2.0 s before (ReadTimeout)', text)
         self.assertEqual('store-lost', event)
 
-    def test_a_store_that_was_back_explains_nothing(self):
+    def test_a_store_that_had_recovered_explains_nothing(self):
         refused = {'call': 'submit', 'job': JOB, 'outcome': 'refused'}
-        found = self.explain(
+        causes = self.explain(
             (3, 'entry-1', 'store-lost', {'error': 'ReadTimeout'}),
             (4, 'entry-1', 'store-regained', {}),
             (9, 'entry-1', 'job-call', refused),
         )
-        self.assertEqual([], found)
+        self.assertEqual([], causes)
 
-    def test_a_failed_job_is_told_from_a_bad_instance(self):
+    def test_a_failed_job_is_distinguished_from_a_bad_instance(self):
         failed = {'task': TASK, 'how': 'failed'}
         phase = (4, 'entry-1', 'job-phase', {'job': JOB, 'phase': 'failed'})
         ends = [
-            (n, 'entry-1', 'run-ended', {**failed, 'instance': place})
-            for n, place in enumerate(('a:1', 'b:1', 'c:1'))
+            (n, 'entry-1', 'run-ended', {**failed, 'instance': instance})
+            for n, instance in enumerate(('a:1', 'b:1', 'c:1'))
         ]
         ((text, _),) = self.explain(*ends, phase)
         self.assertIn('3 times on 3 instances: the job is to blame', text)
         ((text, _),) = self.explain(*ends[:1], phase)
-        self.assertIn('look at that instance', text)
+        self.assertIn('inspect that instance', text)
 
     def test_a_task_that_crashes_its_agents_is_named(self):
-        """A job failed, and none of its runs ended as failed."""
+        """A job failed although none of its runs ended as failed."""
         crash = {'task': TASK, 'seconds': 0.01}
-        found = self.explain(
+        causes = self.explain(
             (1, 'entry-1', 'crash-counted', {**crash, 'instance': 'a:1'}),
             (2, 'entry-1', 'crash-counted', {**crash, 'instance': 'b:1'}),
             (3, 'entry-1', 'crash-counted', {**crash, 'instance': 'b:1'}),
@@ -90,12 +90,12 @@
                 {'job': JOB, 'task': TASK, 'crashes': 3},
             ),
         )
-        ((text, event),) = found
+        ((text, event),) = causes
         self.assertIn('crashed 3 agents that started it, on 2 inst', text)
         self.assertEqual('job-given-up', event)
 
-    def test_a_late_job_names_everything_that_held_it_up(self):
-        found = self.explain(
+    def test_a_late_job_names_all_causes_of_its_delay(self):
+        causes = self.explain(
             (0, 'entry-2', 'leading', {'epoch': 9}),
             (1, 'entry-2', 'job-seen', {'job': JOB, 'age_ms': 2500}),
             (4, 'entry-2', 'placed', {'task': TASK, 'run': 1}),
@@ -106,16 +106,16 @@
         )
         self.assertEqual(
             [
-                ('late: no leader saw it for 2.5 s', 'leading'),
+                ('late: no leader observed it for 2.5 s', 'leading'),
                 ('late: 1 runs were lost with a:1', 'run-lost'),
                 (
                     'late: tasks were stopped 1 times and moved 1 times for '
                     'what serves beside them',
                     'evicted',
                 ),
-                ('late: it waited 3.0 s for its first place', 'placed'),
+                ('late: it waited 3.0 s for its first placement', 'placed'),
             ],
-            found,
+            causes,
         )
 
     def run_command(self, *arguments):
@@ -127,7 +127,7 @@
             code = cli.main(['explain', *map(str, arguments)])
         return code, out.getvalue(), errors.getvalue()
 
-    def test_the_command_tells_the_history_and_the_deciding_line(self):
+    def test_the_command_prints_the_history_and_the_deciding_line(self):
         paths = self.write(
             (3, 'entry-1', 'store-lost', {'error': 'ReadTimeout'}),
             (
@@ -143,9 +143,9 @@
         self.assertIn('cause: unknown: entry-1 had lost the store', out)
         self.assertIn('entry-1.log:1', out)
 
-    def test_an_id_that_nobody_names_is_said_so(self):
+    def test_an_id_in_no_log_line_is_reported(self):
         paths = self.write((3, 'entry-1', 'starting', {}))
         code, out, errors = self.run_command('f' * 16, *paths)
         self.assertEqual(exits.INVALID_INPUT, code)
         self.assertEqual('', out)
-        self.assertIn('no line names', errors)
+        self.assertIn('no log line mentions', errors)
--- a/tests/story.py
+++ b/tests/story.py
@@ -1,7 +1,7 @@
-"""A small whole run, as the log lines and the ledger that it leaves.
+"""A small complete run as synthetic log lines and ledger contents.
 
-``make_story`` is clean: every invariant held, and each has cases. Tests
-plant a violation by changing, adding or dropping lines.
+The run of ``make_story`` is clean: every invariant holds, and each has
+cases. Tests cause a violation by changing, adding or dropping lines.
 """
 
 import dataclasses
@@ -57,8 +57,8 @@
 
 
 @dataclasses.dataclass
-class Story:
-    """All lines of all processes, and the store's ledger keys."""
+class Scenario:
+    """The log lines of all processes, and the ledger keys of the store."""
 
     lines: list[Line] = dataclasses.field(default_factory=list)
     page: store_module.Page | None = None
@@ -67,13 +67,13 @@
     def add(
         self, time: float, process: str, event: str, **fields: t.Any
     ) -> Line:
-        """Log one event."""
+        """Add the log line of one event."""
         line = Line(time, process, event, fields)
         self.lines.append(line)
         return line
 
     def find(self, event: str, **fields: t.Any) -> Line:
-        """Return the only line of an event with these fields."""
+        """Return the only line of an event that has these fields."""
         found = [
             line
             for line in self.lines
@@ -83,13 +83,13 @@
         return found[0]
 
     def drop(self, event: str, **fields: t.Any) -> Line:
-        """Take one line away, and return it."""
+        """Remove and return one line."""
         line = self.find(event, **fields)
         self.lines.remove(line)
         return line
 
     def write(self, directory: pathlib.Path) -> list[pathlib.Path]:
-        """Write one file for each process."""
+        """Write one log file per process."""
         texts: dict[str, list[str]] = {}
         for line in sorted(self.lines, key=lambda line: line.time):
             texts.setdefault(line.process, []).append(line.format() + '\n')
@@ -100,32 +100,34 @@
             paths.append(path)
         return paths
 
-    def judge(self, directory: pathlib.Path) -> dict[str, verdicts.Report]:
-        """Run the audit on the story; reports by invariant."""
+    def check_invariants(
+        self, directory: pathlib.Path
+    ) -> dict[str, verdicts.Report]:
+        """Audit the scenario; return the reports by invariant."""
         found = evidence.read_logs(self.write(directory))
         case = verdicts.Case(
             found, chain.rebuild(found, self.page), self.heads
         )
-        reports = [audit.judge_evidence(case), *verdicts.run_checks(case)]
+        reports = [audit.check_evidence(case), *verdicts.run_checks(case)]
         return {report.invariant: report for report in reports}
 
 
-def make_story() -> Story:
-    """Return a clean run of a build, a watcher and quick requests."""
-    story = Story()
-    _tell_catalogue(story)
-    _tell_quick(story)
-    _tell_ledger(story, make_batches())
-    _tell_build(story)
-    _tell_watcher(story)
-    _tell_job(story)
-    _tell_stops(story)
-    return story
+def make_story() -> Scenario:
+    """Return a clean run of a build, a watcher, a job and quick requests."""
+    scenario = Scenario()
+    _add_catalogue(scenario)
+    _add_quick(scenario)
+    _add_ledger(scenario, make_batches())
+    _add_build(scenario)
+    _add_watcher(scenario)
+    _add_job(scenario)
+    _add_stops(scenario)
+    return scenario
 
 
-def _tell_catalogue(story: Story) -> None:
+def _add_catalogue(scenario: Scenario) -> None:
     for process, incarnation in (('one', ONE), ('two', TWO)):
-        story.add(
+        scenario.add(
             0.5,
             process,
             'takeover',
@@ -134,30 +136,30 @@
             memory_gb=64.0,
             accelerators=1,
         )
-    story.add(0.6, 'entry', 'listening')
-    story.heads = []
+    scenario.add(0.6, 'entry', 'listening')
+    scenario.heads = []
     for revision, time in ((1, 1.0), (2, 20.0)):
         identity = f'edit-{revision}'
-        story.heads.append(revisions.Head(revision, identity, 'ann', ''))
-        story.add(
+        scenario.heads.append(revisions.Head(revision, identity, 'ann', ''))
+        scenario.add(
             time,
             'catalogue',
             'catalogue-accepted',
             revision=revision,
             id=identity,
         )
-        story.add(
+        scenario.add(
             time + 0.2, 'entry', 'catalogue', revision=revision, id=identity
         )
 
 
-def _tell_quick(story: Story) -> None:
-    _ask_quick(story, 2.0, QUICK, True)
-    _answer_quick(story, 2.0, QUICK)
-    _ask_quick(story, 3.0, ONCE, False)
-    _answer_quick(story, 3.0, ONCE)
-    _ask_quick(story, 4.0, REFUSED, False)
-    story.add(
+def _add_quick(scenario: Scenario) -> None:
+    _add_quick_request(scenario, 2.0, QUICK, True)
+    _add_quick_answer(scenario, 2.0, QUICK)
+    _add_quick_request(scenario, 3.0, ONCE, False)
+    _add_quick_answer(scenario, 3.0, ONCE)
+    _add_quick_request(scenario, 4.0, REFUSED, False)
+    scenario.add(
         4.3,
         'one',
         'outcome',
@@ -167,16 +169,16 @@
         verdict='not-run',
         reason=backends.NO_CONNECTION,
     )
-    story.add(
+    scenario.add(
         4.4, 'entry', 'refusal', request=REFUSED, status=503, work='not-run'
     )
 
 
-def _ask_quick(
-    story: Story, time: float, request: str, idempotent: bool
+def _add_quick_request(
+    scenario: Scenario, time: float, request: str, idempotent: bool
 ) -> None:
-    story.add(time, 'entry', 'request', request=request, name='check')
-    story.add(
+    scenario.add(time, 'entry', 'request', request=request, name='check')
+    scenario.add(
         time + 0.1,
         'entry',
         'routing',
@@ -185,14 +187,18 @@
         incarnation=ONE,
         revision=1,
     )
-    add_dispatch(story, time + 0.2, request, idempotent)
+    add_dispatch(scenario, time + 0.2, request, idempotent)
 
 
 def add_dispatch(
-    story: Story, time: float, request: str, idempotent: bool, number: int = 1
+    scenario: Scenario,
+    time: float,
+    request: str,
+    idempotent: bool,
+    number: int = 1,
 ) -> Line:
-    """Send an attempt at a quick request to run."""
-    return story.add(
+    """Add the dispatch of one attempt of a quick request."""
+    return scenario.add(
         time,
         'one',
         'dispatch',
@@ -207,10 +213,10 @@
     )
 
 
-def _answer_quick(story: Story, time: float, request: str) -> None:
+def _add_quick_answer(scenario: Scenario, time: float, request: str) -> None:
     answer = logs.digest(request.encode())
     attempt = f'{request}-1'
-    story.add(
+    scenario.add(
         time + 0.3,
         'one',
         'outcome',
@@ -221,7 +227,7 @@
         status=200,
         answer=answer,
     )
-    story.add(
+    scenario.add(
         time + 0.3,
         'one',
         'admission',
@@ -230,7 +236,7 @@
         revision=1,
         verdict='answered',
     )
-    story.add(
+    scenario.add(
         time + 0.4,
         'entry',
         'answer',
@@ -241,7 +247,7 @@
 
 
 def make_batches() -> list[tuple[float, tuple[records.Record, ...]]]:
-    """Return the group commits of the story's tasks with their times."""
+    """Return the group commits of the scenario's tasks with their times."""
     finished = records.Finished(
         BUILD, 2, records.TaskPhase.SUCCEEDED, ANSWER, 'done'
     )
@@ -278,22 +284,24 @@
 
 
 def replace_ledger(
-    story: Story, batches: list[tuple[float, tuple[records.Record, ...]]]
+    scenario: Scenario, batches: list[tuple[float, tuple[records.Record, ...]]]
 ) -> None:
-    """Let the ledger hold these commits instead, in store and logs."""
-    story.lines = [li for li in story.lines if li.event != 'ledger-commit']
-    _tell_ledger(story, batches)
+    """Replace the ledger commits in store and logs."""
+    scenario.lines = [
+        li for li in scenario.lines if li.event != 'ledger-commit'
+    ]
+    _add_ledger(scenario, batches)
 
 
-def _tell_ledger(
-    story: Story, batches: list[tuple[float, tuple[records.Record, ...]]]
+def _add_ledger(
+    scenario: Scenario, batches: list[tuple[float, tuple[records.Record, ...]]]
 ) -> None:
     commits = [items for _, items in batches]
-    story.page = anyio.run(_write_ledger, commits)
+    scenario.page = anyio.run(_write_ledger, commits)
     times = [1.5, *(time for time, _ in batches)]
-    for time, item in zip(times, story.page.items, strict=True):
+    for time, item in zip(times, scenario.page.items, strict=True):
         batch = records.load_batch(item.value)
-        story.add(
+        scenario.add(
             time,
             'entry',
             'ledger-commit',
@@ -308,37 +316,37 @@
     commits: list[tuple[records.Record, ...]],
 ) -> store_module.Page:
     store = memory.MemoryStore()
-    kept = ledger.Ledger(store, 0)
-    await kept.take_over('entry')
+    writer = ledger.Ledger(store, 0)
+    await writer.take_over('entry')
     for items in commits:
-        await kept.append(items)
+        await writer.append(items)
     return await store.scan(chain.PREFIX)
 
 
 def start_task(
-    story: Story,
+    scenario: Scenario,
     time: float,
     task: str,
     attempt: int,
-    place: str,
+    instance: str,
     **fields: t.Any,
 ) -> Line:
-    """Place a task and start it on an instance."""
-    incarnation = {'one': ONE, 'two': TWO}[place]
+    """Add the placement and start of a task on an instance."""
+    incarnation = {'one': ONE, 'two': TWO}[instance]
     common = {'task': task, 'attempt': attempt, 'incarnation': incarnation}
-    story.add(
+    scenario.add(
         time,
         'entry',
         'placement',
-        chosen=place,
+        chosen=instance,
         revision=1,
         workload_class='watcher' if task == WATCHER else 'batch',
         idempotent=False,
         **common,
     )
-    dispatch = story.add(
+    dispatch = scenario.add(
         time + 0.05,
-        place,
+        instance,
         'task-dispatch',
         partition=0,
         epoch=1,
@@ -348,36 +356,38 @@
         accelerators=0,
         **{'checkpoint': '', **common, **fields},
     )
-    story.add(time + 0.1, place, 'task-admission', verdict='running', **common)
+    scenario.add(
+        time + 0.1, instance, 'task-admission', verdict='running', **common
+    )
     return dispatch
 
 
 def end_task(
-    story: Story,
+    scenario: Scenario,
     time: float,
     task: str,
     attempt: int,
-    place: str,
+    instance: str,
     phase: str,
     checkpoint: str = '',
 ) -> Line:
-    """Let the sidecar see that the worker has ended an attempt."""
-    return story.add(
+    """Add the sidecar's line about the end of an attempt."""
+    return scenario.add(
         time,
-        place,
+        instance,
         'task-ended',
         task=task,
         attempt=attempt,
-        incarnation={'one': ONE, 'two': TWO}[place],
+        incarnation={'one': ONE, 'two': TWO}[instance],
         phase=phase,
         checkpoint=checkpoint,
     )
 
 
-def _tell_build(story: Story) -> None:
+def _add_build(scenario: Scenario) -> None:
     checkpoint = logs.digest(CHECKPOINT.encode())
-    story.add(4.9, 'entry', 'request', request='submit', name='build')
-    story.add(
+    scenario.add(4.9, 'entry', 'request', request='submit', name='build')
+    scenario.add(
         5.0,
         'entry',
         'task-answer',
@@ -386,11 +396,11 @@
         phase='pending',
         answer='',
     )
-    start_task(story, 5.2, BUILD, 1, 'one')
-    end_task(story, 6.9, BUILD, 1, 'one', 'evicted', checkpoint)
-    start_task(story, 7.2, BUILD, 2, 'two', checkpoint=checkpoint)
-    end_task(story, 8.9, BUILD, 2, 'two', 'succeeded')
-    story.add(
+    start_task(scenario, 5.2, BUILD, 1, 'one')
+    end_task(scenario, 6.9, BUILD, 1, 'one', 'evicted', checkpoint)
+    start_task(scenario, 7.2, BUILD, 2, 'two', checkpoint=checkpoint)
+    end_task(scenario, 8.9, BUILD, 2, 'two', 'succeeded')
+    scenario.add(
         9.1,
         'entry',
         'task-answer',
@@ -401,9 +411,9 @@
     )
 
 
-def _tell_watcher(story: Story) -> None:
-    start_task(story, 5.2, WATCHER, 1, 'one')
-    story.add(
+def _add_watcher(scenario: Scenario) -> None:
+    start_task(scenario, 5.2, WATCHER, 1, 'one')
+    scenario.add(
         7.0,
         'one',
         'renewal',
@@ -414,32 +424,32 @@
         took=0.01,
         tasks=f'{WATCHER}/1',
     )
-    start_task(story, 15.2, WATCHER, 2, 'two')
-    end_task(story, 18.4, WATCHER, 2, 'two', 'stopped')
+    start_task(scenario, 15.2, WATCHER, 2, 'two')
+    end_task(scenario, 18.4, WATCHER, 2, 'two', 'stopped')
 
 
-def _tell_stops(story: Story) -> None:
+def _add_stops(scenario: Scenario) -> None:
     for process, time, incarnation in (
         ('one', 10.0, ONE),
         ('two', 30.0, TWO),
     ):
-        story.add(time, process, 'stopping', incarnation=incarnation)
-        story.add(time + 1.0, process, 'stopped', incarnation=incarnation)
-    story.add(40.0, 'entry', 'stopping')
-    story.add(41.0, 'entry', 'stopped')
+        scenario.add(time, process, 'stopping', incarnation=incarnation)
+        scenario.add(time + 1.0, process, 'stopped', incarnation=incarnation)
+    scenario.add(40.0, 'entry', 'stopping')
+    scenario.add(41.0, 'entry', 'stopped')
 
 
-def _tell_job(story: Story) -> None:
-    """A job of two tasks, one of which fails once."""
+def _add_job(scenario: Scenario) -> None:
+    """Add a job of two tasks, one of which fails once."""
     for time, index, run, how in (
         (30.0, 0, 1, 'done'),
         (30.1, 1, 1, 'failed'),
         (32.0, 1, 2, 'done'),
     ):
-        run_job_task(story, time, f'job-1.0.0.{index}', run, how)
-    story.add(34.0, 'entry', 'job-phase', job='job-1', phase='complete')
-    run_job_task(story, 34.0, 'job-3.0.0.0', 1, 'stopped')
-    story.add(
+        run_job_task(scenario, time, f'job-1.0.0.{index}', run, how)
+    scenario.add(34.0, 'entry', 'job-phase', job='job-1', phase='complete')
+    run_job_task(scenario, 34.0, 'job-3.0.0.0', 1, 'stopped')
+    scenario.add(
         34.5,
         'entry',
         'job-call',
@@ -450,12 +460,17 @@
 
 
 def run_job_task(
-    story: Story, time: float, task: str, run: int, how: str, **more: t.Any
+    scenario: Scenario,
+    time: float,
+    task: str,
+    run: int,
+    how: str,
+    **more: t.Any,
 ) -> None:
-    """Tell of one run of a job's task, from its place to its end."""
-    story.add(time, 'entry', 'placed', task=task, run=run, **more)
-    story.add(time + 0.1, 'one', 'started', task=task, run=run)
-    story.add(
+    """Add one run of a job's task, from its placement to its end."""
+    scenario.add(time, 'entry', 'placed', task=task, run=run, **more)
+    scenario.add(time + 0.1, 'one', 'started', task=task, run=run)
+    scenario.add(
         time + 1.0,
         'entry',
         'run-ended',
@@ -466,6 +481,6 @@
         boot='boot-1',
         number=1,
     )
-    story.add(
+    scenario.add(
         time + 1.1, 'entry', 'ends-acknowledged', boot='boot-1', number=1
     )
