--- a/src/persimmonsail/findings.py
+++ b/src/persimmonsail/findings.py
@@ -15,9 +15,9 @@
 class Finding(exceptions.PersimmonsailError):
     """One error in a file, with its location and what is allowed."""
 
-    def __init__(self, place: 'Place', text: str) -> None:
-        super().__init__(f'{place}: {text}')
-        self.place = place
+    def __init__(self, location: 'Place', text: str) -> None:
+        super().__init__(f'{location}: {text}')
+        self.location = location
         self.text = text
 
 
@@ -41,7 +41,7 @@
 class Duplicate:
     """A section or option that occurs a second time."""
 
-    place: Place
+    location: Place
     first_line: int
 
 
@@ -68,8 +68,8 @@
         lines = self._lines.setdefault(section, {})
         first = lines.setdefault(option, number)
         if first != number:
-            place = Place(self.file, number, section, option)
-            self.duplicates.append(Duplicate(place, first))
+            location = Place(self.file, number, section, option)
+            self.duplicates.append(Duplicate(location, first))
 
     def find(self, section: str = '', option: str = '') -> Place:
         """Return the location of an option, else of its section."""
@@ -85,13 +85,13 @@
         self._title = title
         self._findings: list[Finding] = []
 
-    def add(self, place: Place, text: str) -> None:
+    def add(self, location: Place, text: str) -> None:
         """Add one finding."""
-        self._findings.append(Finding(place, text))
+        self._findings.append(Finding(location, text))
 
     def add_validation(
         self,
-        places: Places,
+        line_index: Places,
         section: str,
         error: pydantic.ValidationError,
         model: type[pydantic.BaseModel],
@@ -101,7 +101,8 @@
             option = str(detail['loc'][0]) if detail['loc'] else ''
             option = option.replace('_', '-')
             self.add(
-                places.find(section, option), _describe_error(detail, model)
+                line_index.find(section, option),
+                _describe_error(detail, model),
             )
 
     def raise_if_any(self) -> None:
@@ -171,9 +172,9 @@
         The sections and options that could be parsed.
     """
     for duplicate in Places(file, text).duplicates:
-        kind = 'option' if duplicate.place.option else 'section'
+        kind = 'option' if duplicate.location.option else 'section'
         collector.add(
-            duplicate.place,
+            duplicate.location,
             f'{kind} stands in line {duplicate.first_line} too; allowed: once',
         )
     while True:
--- a/src/persimmonsail/settings.py
+++ b/src/persimmonsail/settings.py
@@ -213,7 +213,7 @@
 def parse(file: str, text: str, role: str) -> Settings:
     """Validate settings text; see ``load``."""
     collector = findings.Collector(f'settings in {file}')
-    places = findings.Places(file, text)
+    line_index = findings.Places(file, text)
     parser = findings.read_ini(file, text, collector)
     sections: dict[str, Section] = {}
     for name in parser.sections():
@@ -221,13 +221,13 @@
         if model is None:
             allowed = ', '.join(_MODELS)
             collector.add(
-                places.find(name), f'unknown section; allowed: {allowed}'
+                line_index.find(name), f'unknown section; allowed: {allowed}'
             )
             continue
         try:
             sections[name] = model.model_validate(dict(parser[name]))
         except pydantic.ValidationError as error:
-            collector.add_validation(places, name, error, model)
+            collector.add_validation(line_index, name, error, model)
     with_jobs = 'jobs' in parser.sections()
     for name in (
         _REQUIRED_SECTIONS_WITH_JOBS if with_jobs else _REQUIRED_SECTIONS
@@ -237,25 +237,25 @@
                 findings.Place(file, section=name),
                 f'section is missing; the {role} role needs it',
             )
-    _check_store_kind(sections.get('store'), places, collector)
-    _check_advertised(sections.get('process'), places, collector)
-    _check_jobs(sections.get('jobs'), role, places, collector)
+    _check_store_kind(sections.get('store'), line_index, collector)
+    _check_advertised(sections.get('process'), line_index, collector)
+    _check_jobs(sections.get('jobs'), role, line_index, collector)
     collector.raise_if_any()
     return Settings.model_validate({**sections, 'source': file})
 
 
-def _check_jobs(section, role, places, collector) -> None:
+def _check_jobs(section, role, line_index, collector) -> None:
     if section is None:
         return
     for name in _REQUIRED_OPTIONS_WITH_JOBS[role]:
         if getattr(section, name) is None:
             collector.add(
-                places.find('jobs', name),
+                line_index.find('jobs', name),
                 f'option is missing; the {role} role needs it',
             )
 
 
-def _check_store_kind(section, places, collector) -> None:
+def _check_store_kind(section, line_index, collector) -> None:
     # Adapters are loaded only in processes that have this section.
     if section is None:
         return
@@ -263,19 +263,19 @@
     if section.kind not in kinds:
         allowed = ', '.join(sorted(kinds))
         collector.add(
-            places.find('store', 'kind'),
+            line_index.find('store', 'kind'),
             f'unknown kind {section.kind!r}; allowed: {allowed}',
         )
 
 
-def _check_advertised(section, places, collector) -> None:
+def _check_advertised(section, line_index, collector) -> None:
     # A peer that receives a wildcard address connects to its own host.
     if section is None or section.control_advertised:
         return
     host = section.control.rpartition(':')[0].strip('[]')
     if host in _WILDCARDS:
         collector.add(
-            places.find('process', 'control'),
+            line_index.find('process', 'control'),
             f'{host} is unreachable from other hosts; '
             'set control-advertised too',
         )
