--- a/src/persimmonsail/addresses.py
+++ b/src/persimmonsail/addresses.py
@@ -3,25 +3,25 @@
 import re
 import socket
 
-# A host by its name or number, and a port.
+# A host name or IP address, and a port.
 PATTERN = r'^[0-9A-Za-z.\-\[\]:]+:\d{1,5}$'
 MAX_PORT = 65535
-_BACKLOG = 512
+_LISTEN_BACKLOG = 512
 
 
 def split(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``."""
+    """Split ``host:port`` into host and port."""
     host, _, port = address.rpartition(':')
     return host.strip('[]'), int(port)
 
 
 def check(address: str) -> None:
-    """Check what came from outside.
+    """Validate an address from an untrusted source.
 
     Raises
     ------
     ValueError
-        If it is no ``host:port``.
+        If it is not a valid ``host:port``.
     """
     if not re.fullmatch(PATTERN, address):
         raise ValueError(f'{address!r} is no host:port')
@@ -30,20 +30,21 @@
 
 
 def bind(address: str) -> socket.socket:
-    """Return a listening socket; port 0 picks a free one."""
+    """Return a listening socket; port 0 selects a free port."""
     host, port = split(address)
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
-    # Named, because the event loop turns Nagle's algorithm off only for
-    # sockets that say they are TCP; it held each reply back for 40 ms.
+    # The protocol is explicit because the event loop disables Nagle's
+    # algorithm only on sockets whose protocol is TCP; otherwise each reply
+    # is delayed by 40 ms.
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
-    sock.listen(_BACKLOG)
+    sock.listen(_LISTEN_BACKLOG)
     sock.setblocking(False)
     return sock
 
 
 def name_of(sock: socket.socket) -> str:
-    """Return a bound socket's ``host:port``."""
+    """Return the ``host:port`` that a socket is bound to."""
     host, port = sock.getsockname()[:2]
     return f'{host}:{port}'
--- a/src/persimmonsail/bodies.py
+++ b/src/persimmonsail/bodies.py
@@ -1,4 +1,4 @@
-"""Reading the bodies of callers' requests."""
+"""Size-limited reading of request bodies."""
 
 import typing as t
 
@@ -6,44 +6,46 @@
 
 from persimmonsail import exceptions
 
-# What is read of a body that is too large before its answer: a peer that
-# is cut off while it sends never gets to read why.
-_MOST_DISCARDED_BYTES = 64 * 1024 * 1024
+# An oversized body is read and discarded up to these limits before the
+# response is sent: a client whose connection is closed while it still sends
+# never reads the error.
+_MAX_DISCARDED_BYTES = 64 * 1024 * 1024
 _DISCARD_SECONDS = 5.0
 
 Receive = t.Callable[[], t.Awaitable[t.Any]]
 
 
 async def read_body(receive: Receive, limit: int) -> bytes:
-    """Return a request's body.
+    """Read the whole body of a request.
 
     Parameters
     ----------
     receive : callable
-        The ASGI channel.
+        The ASGI receive channel.
     limit : int
-        The most bytes that are kept.
+        Maximum size of the body in bytes.
 
     Raises
     ------
     persimmonsail.exceptions.BodyTooLarge
-        If there are more; they were read and dropped, up to a bound.
+        If the body is larger, or was not read completely in time; the
+        excess is read and discarded, up to a limit.
     persimmonsail.exceptions.CallerGone
-        If the caller went away.
+        If the caller disconnected.
     """
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     with anyio.move_on_after(_DISCARD_SECONDS) as scope:
         while True:
             message = await receive()
             if message['type'] == 'http.disconnect':
                 raise exceptions.CallerGone
-            part = message.get('body', b'')
-            size += len(part)
+            chunk = message.get('body', b'')
+            size += len(chunk)
             if size <= limit:
-                parts.append(part)
-            if not message.get('more_body') or size > _MOST_DISCARDED_BYTES:
+                chunks.append(chunk)
+            if not message.get('more_body') or size > _MAX_DISCARDED_BYTES:
                 break
     if size > limit or scope.cancelled_caught:
         raise exceptions.BodyTooLarge
-    return b''.join(parts)
+    return b''.join(chunks)
--- a/src/persimmonsail/httpclient.py
+++ b/src/persimmonsail/httpclient.py
@@ -1,11 +1,10 @@
-"""A small HTTP client for one service that is called all the time.
-
-A sidecar asks its worker's agent six times a second, an entry its store as
-often, and a general client takes most of the processor time that goes into
-that: 2.3 ms a call, where this one takes 0.8 ms (1,500 calls on loopback, a
-shared processor), and a sidecar as a whole 0.029 and 0.019 cores. It does
-what they need: one address, connections that are kept, a time limit for
-each call.
+"""A minimal HTTP client for frequent calls to a single service.
+
+A sidecar polls its worker's agent six times a second, and an entry its store
+as often. With a general-purpose client, most of the CPU time of these calls
+is spent in the client: 2.3 ms per call, against 0.8 ms with this one (1,500
+calls on loopback, shared CPU); a whole sidecar used 0.029 and 0.019 cores.
+Supported are one address, persistent connections and a timeout per call.
 """
 
 import contextlib
@@ -22,17 +21,18 @@
 from persimmonsail import addresses
 from persimmonsail import exceptions
 
-# An idle connection is used again for so long: servers close theirs after
-# 5 s and more, and a call that meets the close has no answer.
-_IDLE_SECONDS = 4.0
-# No more of them are kept; a role has three calls under way at most times.
-_MOST_IDLE = 8
+# Idle connections are not reused after this time: servers close them after
+# 5 s or more, and a call sent on a connection that is being closed gets no
+# response.
+_MAX_IDLE_SECONDS = 4.0
+# A process usually has three concurrent calls.
+_MAX_IDLE_CONNECTIONS = 8
 _READ_BYTES = 65536
-# An answer goes on for so long at the most while bytes of it come: a page of
-# a megabyte takes 8 s over a link of 1 Mbit/s.
-_LONGEST_SECONDS = 10.0
+# Total time for a response that is still being received: a page of one
+# megabyte takes 8 s over a link of 1 Mbit/s.
+_MAX_CALL_SECONDS = 10.0
 
-_BROKEN = (
+_CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     anyio.BrokenResourceError,
@@ -44,32 +44,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """An answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     content: bytes
 
 
 class Client:
-    """Calls one service; close it at the end.
+    """A client of one service; call ``close`` when done.
 
     Parameters
     ----------
     address : str
-        Where the service listens, as ``host:port``.
+        Address of the service, as ``host:port``.
     timeout : float
-        Seconds that a service may be silent where a call says nothing else.
+        Default for the ``timeout`` of a call, in seconds.
 
     Attributes
     ----------
-    longest : float
-        Seconds that an answer may go on for while bytes of it come.
+    max_call_seconds : float
+        Maximum duration of a call whose response is still being received.
     """
 
     def __init__(self, address: str, timeout: float) -> None:
         self._address = address
         self._timeout = timeout
-        self.longest = _LONGEST_SECONDS
+        self.max_call_seconds = _MAX_CALL_SECONDS
         self._idle: list[_Connection] = []
 
     async def call(
@@ -80,55 +80,55 @@
         headers: t.Mapping[str, str] | None = None,
         timeout: float | None = None,
     ) -> Answer:
-        """Make one call and return its answer.
+        """Send a request and return the response.
 
         Parameters
         ----------
         method, target : str
-            The request's method, and its path with the query.
+            Method of the request, and path with query string.
         body : object, optional
-            What is sent as JSON.
+            Request body, sent as JSON.
         headers : mapping of str to str, optional
-            Headers besides those that each request has.
+            Additional request headers.
         timeout : float, optional
-            Seconds until the first byte of the answer, and between two
-            parts of it. A limit for the whole answer would make a long
-            page unreadable over a thin link, however often it is asked
-            for: no leader could load its jobs there.
+            Maximum seconds until the first byte of the response, and
+            between two reads of it. A limit for the whole response would
+            make a long page unreadable over a slow link, however often it
+            is retried: a leader there could never load its jobs.
 
         Raises
         ------
         persimmonsail.exceptions.ServiceNotReached
-            If there was no connection: nothing was sent.
+            If no connection was established: nothing was sent.
         persimmonsail.exceptions.ServiceUnanswered
-            If the request was sent, in whole or in part, and no whole
-            answer came.
+            If the request was sent, completely or in part, and no complete
+            response was received.
         """
-        limit = _Limit(timeout or self._timeout, self.longest)
-        connection = await self._open(limit)
+        deadline = _Deadline(timeout or self._timeout, self.max_call_seconds)
+        connection = await self._acquire(deadline)
         request = _encode(self._address, method, target, body, headers or {})
         try:
-            with limit.enforce():
-                answer = await connection.exchange(request, limit)
-        except _BROKEN as error:
+            with deadline.enforce():
+                response = await connection.exchange(request, deadline)
+        except _CONNECTION_ERRORS as error:
             await connection.close()
             raise exceptions.ServiceUnanswered(
-                limit.describe(error)
+                deadline.describe(error)
             ) from error
         except BaseException:
-            # Cancelled: an answer that comes later must not be taken for
-            # that of the next call.
+            # After a cancellation, a response that arrives later must not
+            # be read as that of the next call.
             await connection.close()
             raise
-        await self._keep(connection)
-        return answer
+        await self._release(connection)
+        return response
 
     async def close(self) -> None:
         """Close all idle connections."""
         while self._idle:
             await self._idle.pop().close()
 
-    async def _open(self, limit: '_Limit') -> '_Connection':
+    async def _acquire(self, deadline: '_Deadline') -> '_Connection':
         while self._idle:
             connection = self._idle.pop()
             if connection.is_usable:
@@ -136,69 +136,75 @@
             await connection.close()
         host, port = addresses.split(self._address)
         try:
-            with limit.enforce():
+            with deadline.enforce():
                 stream = await anyio.connect_tcp(host, port)
         except (OSError, TimeoutError) as error:
             raise exceptions.ServiceNotReached(
-                limit.describe(error)
+                deadline.describe(error)
             ) from error
         return _Connection(stream)
 
-    async def _keep(self, connection: '_Connection') -> None:
-        if connection.begin_next() and len(self._idle) < _MOST_IDLE:
+    async def _release(self, connection: '_Connection') -> None:
+        if (
+            connection.prepare_next_call()
+            and len(self._idle) < _MAX_IDLE_CONNECTIONS
+        ):
             self._idle.append(connection)
         else:
             await connection.close()
 
 
-class _Limit:
-    """How long a call may go on: for as long as its answer does not stop.
+class _Deadline:
+    """Deadline of a call, extended while its response is being received.
 
     Parameters
     ----------
-    silence : float
-        Seconds without a byte that end it.
-    longest : float
-        Seconds that it may take in all, if ``silence`` is not more.
+    max_silence : float
+        Maximum seconds without received data.
+    max_call_seconds : float
+        Maximum total seconds, unless ``max_silence`` is longer.
     """
 
-    def __init__(self, silence: float, longest: float) -> None:
+    def __init__(self, max_silence: float, max_call_seconds: float) -> None:
         now = anyio.current_time()
-        self._silence = silence
-        self._end = now + max(silence, longest)
-        self._until = now + silence
+        self._max_silence = max_silence
+        self._final_deadline = now + max(max_silence, max_call_seconds)
+        self._deadline = now + max_silence
         self._scope: anyio.CancelScope | None = None
-        self._received = 0
+        self._received_bytes = 0
 
     @contextlib.contextmanager
     def enforce(self) -> t.Iterator[None]:
-        """End what is done inside with ``TimeoutError`` at the limit."""
-        left = self._until - anyio.current_time()
-        with anyio.move_on_after(max(left, 0.0)) as self._scope:
+        """Raise ``TimeoutError`` if the block exceeds the deadline."""
+        remaining = self._deadline - anyio.current_time()
+        with anyio.move_on_after(max(remaining, 0.0)) as self._scope:
             yield
-        # Bytes that came when the limit was over have moved it on: the call
-        # was cancelled all the same, and has no answer.
+        # Data received just after the deadline has extended it, but the call
+        # was already cancelled and has no response.
         if self._scope.cancelled_caught:
             raise TimeoutError
 
-    def note_data(self, count: int) -> None:
-        """Move the limit on, since so many bytes have come."""
-        self._received += count
-        self._until = min(anyio.current_time() + self._silence, self._end)
-        self._scope.deadline = self._until
+    def note_data(self, byte_count: int) -> None:
+        """Extend the deadline after data was received."""
+        self._received_bytes += byte_count
+        self._deadline = min(
+            anyio.current_time() + self._max_silence, self._final_deadline
+        )
+        self._scope.deadline = self._deadline
 
     def describe(self, error: Exception) -> str:
-        """Name an error, and whose the time was that a call ran out of.
+        """Describe an error; for a timeout, add the delay of its detection.
 
-        A service that is silent is noticed at the limit; a process that is
-        itself held up notices it later, by as much as it was held up.
+        A timeout caused by the service is detected at the deadline. If this
+        process was blocked, it is detected later by the blocked time.
         """
         name = type(error).__name__
         if not isinstance(error, TimeoutError):
             return name
-        late = anyio.current_time() - self._until
+        delay = anyio.current_time() - self._deadline
         return (
-            f'{name} after {self._received} bytes, noticed {late:.3f} s late'
+            f'{name} after {self._received_bytes} bytes,'
+            f' noticed {delay:.3f} s late'
         )
 
 
@@ -214,20 +220,20 @@
     body: t.Any,
     headers: t.Mapping[str, str],
 ) -> _Request:
-    fields = [('Host', address), *headers.items()]
+    header_fields = [('Host', address), *headers.items()]
     data = b''
     if body is not None:
         data = json.dumps(body, separators=(',', ':')).encode()
-        fields.append(('Content-Type', 'application/json'))
+        header_fields.append(('Content-Type', 'application/json'))
     if data or method == 'POST':
-        fields.append(('Content-Length', str(len(data))))
+        header_fields.append(('Content-Length', str(len(data))))
     return _Request(
-        h11.Request(method=method, target=target, headers=fields), data
+        h11.Request(method=method, target=target, headers=header_fields), data
     )
 
 
 class _Connection:
-    """One connection, with at most one call under way."""
+    """A connection that handles one call at a time."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
         self._stream = stream
@@ -235,10 +241,10 @@
         sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
         self._poll.register(sock.fileno(), select.POLLIN)
         self._state = h11.Connection(h11.CLIENT)
-        self._used_at = 0.0
+        self._last_used_at = 0.0
 
-    async def exchange(self, request: _Request, limit: _Limit) -> Answer:
-        """Send a request and read its whole answer."""
+    async def exchange(self, request: _Request, deadline: _Deadline) -> Answer:
+        """Send a request and read the complete response."""
         data = self._state.send(request.head) or b''
         if request.body:
             data += self._state.send(h11.Data(data=request.body)) or b''
@@ -249,7 +255,7 @@
         while True:
             event = self._state.next_event()
             if event is h11.NEED_DATA:
-                await self._receive(limit)
+                await self._receive(deadline)
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
@@ -257,18 +263,18 @@
             elif isinstance(event, h11.EndOfMessage):
                 return Answer(status, b''.join(content))
 
-    async def _receive(self, limit: _Limit) -> None:
+    async def _receive(self, deadline: _Deadline) -> None:
         try:
             data = await self._stream.receive(_READ_BYTES)
         except anyio.EndOfStream:
-            # The parser tells whether an answer may end like this.
+            # The parser decides whether a response may end like this.
             data = b''
-        limit.note_data(len(data))
+        deadline.note_data(len(data))
         self._state.receive_data(data)
 
-    def begin_next(self) -> bool:
-        """Make ready for another call; tell whether that is possible."""
-        self._used_at = time.monotonic()
+    def prepare_next_call(self) -> bool:
+        """Prepare for another call; return whether that is possible."""
+        self._last_used_at = time.monotonic()
         if self._state.states != {
             h11.CLIENT: h11.DONE,
             h11.SERVER: h11.DONE,
@@ -279,13 +285,13 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether the service has most likely not closed it yet."""
-        if time.monotonic() - self._used_at > _IDLE_SECONDS:
+        """Whether the service has probably not closed it yet."""
+        if time.monotonic() - self._last_used_at > _MAX_IDLE_SECONDS:
             return False
-        # Between two calls there is nothing to read but its end.
+        # Between two calls, only the end of the stream is readable.
         return not self._poll.poll(0)
 
     async def close(self) -> None:
-        """Close it at once, whatever is under way."""
+        """Close immediately, even during a call."""
         with anyio.CancelScope(shield=True):
             await anyio.aclose_forcefully(self._stream)
--- a/src/persimmonsail/httpserver.py
+++ b/src/persimmonsail/httpserver.py
@@ -1,4 +1,4 @@
-"""Serving an ASGI application over HTTP, with a graceful end."""
+"""An HTTP server for ASGI applications, with graceful shutdown."""
 
 import logging
 import typing as t
@@ -11,15 +11,15 @@
 from persimmonsail import addresses
 
 
-_IDLE_SECONDS = 5.0
+_IDLE_TIMEOUT_SECONDS = 5.0
 
 
 class HttpServer:
     """Serves one application while its context is open.
 
-    Leaving the context refuses new connections and waits for requests
-    in flight, at most ``drain`` seconds. A kept connection is closed
-    after ``idle`` seconds without a request.
+    On exit, new connections are refused and requests in flight may finish
+    within ``drain`` seconds. A persistent connection is closed after
+    ``idle`` seconds without a request.
     """
 
     def __init__(
@@ -27,41 +27,41 @@
         app: t.Any,
         address: str,
         drain: float,
-        idle: float = _IDLE_SECONDS,
+        idle: float = _IDLE_TIMEOUT_SECONDS,
     ) -> None:
         self._app = app
-        self._idle = idle
+        self._idle_timeout = idle
         self._socket = addresses.bind(address)
         self.address = addresses.name_of(self._socket)
-        self._drain = drain
-        self._stop = anyio.Event()
-        self._ended = anyio.Event()
+        self._drain_timeout = drain
+        self._stop_requested = anyio.Event()
+        self._stopped = anyio.Event()
 
     async def __aenter__(self) -> 'HttpServer':
-        self._group = anyio.create_task_group()
-        await self._group.__aenter__()
-        self._group.start_soon(self._serve)
+        self._task_group = anyio.create_task_group()
+        await self._task_group.__aenter__()
+        self._task_group.start_soon(self._serve)
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
-        self._stop.set()
+        self._stop_requested.set()
         with anyio.CancelScope(shield=True):
-            with anyio.move_on_after(self._drain + 1.0):
-                await self._ended.wait()
-        self._group.cancel_scope.cancel()
-        return await self._group.__aexit__(*exc_info)
+            with anyio.move_on_after(self._drain_timeout + 1.0):
+                await self._stopped.wait()
+        self._task_group.cancel_scope.cancel()
+        return await self._task_group.__aexit__(*exc_info)
 
     async def _serve(self) -> None:
         config = hypercorn.config.Config()
         config.bind = [f'fd://{self._socket.detach()}']
-        config.graceful_timeout = self._drain
-        config.keep_alive_timeout = self._idle
+        config.graceful_timeout = self._drain_timeout
+        config.keep_alive_timeout = self._idle_timeout
         config.accesslog = None
         config.errorlog = logging.getLogger('hypercorn.error')
         config.include_server_header = False
         try:
             await hypercorn.asyncio.serve(
-                self._app, config, shutdown_trigger=self._stop.wait
+                self._app, config, shutdown_trigger=self._stop_requested.wait
             )
         finally:
-            self._ended.set()
+            self._stopped.set()
--- a/src/persimmonsail/httpstore.py
+++ b/src/persimmonsail/httpstore.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP with JSON bodies."""
+"""Client of the platform's store over HTTP with JSON bodies."""
 
 import time
 import typing as t
@@ -10,24 +10,24 @@
 from persimmonsail import metrics
 from persimmonsail import store
 
-_WATCH_MARGIN = 1.0
-# An idle connection is used again for so long: servers close theirs after
-# 5 s and more, and a call that meets the close has no answer.
+_WATCH_MARGIN_SECONDS = 1.0
+# Idle connections are not reused after 4 s: servers close them after 5 s or
+# more, and a call sent on a connection that is being closed gets no response.
 _LIMITS = httpx.Limits(keepalive_expiry=4.0)
 _OUTCOMES = {
     httpx.codes.OK: 'ok',
     httpx.codes.CONFLICT: 'conflict',
     httpx.codes.GONE: 'lease-expired',
 }
-_Answer = httpx.Response
-_M = t.TypeVar('_M', bound=pydantic.BaseModel)
+_Response = httpx.Response
+_Model = t.TypeVar('_Model', bound=pydantic.BaseModel)
 
 
-class _Found(pydantic.BaseModel):
+class _GetResponse(pydantic.BaseModel):
     item: store.Item | None
 
 
-class _Listed(pydantic.BaseModel):
+class _PageResponse(pydantic.BaseModel):
     revision: int
     items: tuple[store.Item, ...]
 
@@ -35,17 +35,17 @@
         return store.Page(self.revision, self.items)
 
 
-class _Written(pydantic.BaseModel):
+class _WriteResponse(pydantic.BaseModel):
     revision: int
 
 
-class _Granted(pydantic.BaseModel):
+class _LeaseResponse(pydantic.BaseModel):
     lease: str
 
 
 @store.register('http')
 class HttpStore(store.Store):
-    """Use with ``kind = http`` in the settings' ``[store]`` section."""
+    """Selected by ``kind = http`` in the ``[store]`` settings."""
 
     def __init__(self, address: str, timeout: float) -> None:
         self._timeout = timeout
@@ -58,13 +58,13 @@
 
     async def get(self, key: str) -> store.Item | None:
         """See ``Store.get``."""
-        answer = await self._call('get', {'key': key})
-        return _read(_Found, answer, 'get').item
+        response = await self._call('get', {'key': key})
+        return _parse_response(_GetResponse, response, 'get').item
 
     async def scan(self, prefix: str) -> store.Page:
         """See ``Store.scan``."""
-        answer = await self._call('scan', {'prefix': prefix})
-        return _read(_Listed, answer, 'scan').to_page()
+        response = await self._call('scan', {'prefix': prefix})
+        return _parse_response(_PageResponse, response, 'scan').to_page()
 
     async def put(
         self,
@@ -80,7 +80,9 @@
             'expected': expected,
             'lease': lease,
         }
-        return _read(_Written, await self._call('put', body), 'put').revision
+        return _parse_response(
+            _WriteResponse, await self._call('put', body), 'put'
+        ).revision
 
     async def delete(self, key: str, expected: int | None = None) -> None:
         """See ``Store.delete``."""
@@ -88,8 +90,8 @@
 
     async def grant_lease(self, seconds: float) -> str:
         """See ``Store.grant_lease``."""
-        answer = await self._call('lease/grant', {'seconds': seconds})
-        return _read(_Granted, answer, 'lease/grant').lease
+        response = await self._call('lease/grant', {'seconds': seconds})
+        return _parse_response(_LeaseResponse, response, 'lease/grant').lease
 
     async def renew_lease(self, lease: str) -> None:
         """See ``Store.renew_lease``."""
@@ -102,9 +104,9 @@
     async def watch(self, prefix: str, after: int, wait: float) -> store.Page:
         """See ``Store.watch``."""
         body = {'prefix': prefix, 'after': after, 'wait': wait}
-        timeout = wait + self._timeout + _WATCH_MARGIN
-        answer = await self._call('watch', body, timeout)
-        return _read(_Listed, answer, 'watch').to_page()
+        timeout = wait + self._timeout + _WATCH_MARGIN_SECONDS
+        response = await self._call('watch', body, timeout)
+        return _parse_response(_PageResponse, response, 'watch').to_page()
 
     async def close(self) -> None:
         """Close all connections."""
@@ -112,10 +114,10 @@
 
     async def _call(
         self, name: str, body: dict[str, t.Any], timeout: float | None = None
-    ) -> _Answer:
-        begun = time.monotonic()
+    ) -> _Response:
+        started_at = time.monotonic()
         try:
-            answer = await self._client.post(
+            response = await self._client.post(
                 f'/v1/{name}', json=body, timeout=timeout or self._timeout
             )
         except httpx.HTTPError as error:
@@ -123,30 +125,34 @@
             raise exceptions.StoreUnavailable(
                 f'{name}: {type(error).__name__}'
             ) from error
-        _count_answer(name, answer.status_code, time.monotonic() - begun)
-        if answer.status_code == httpx.codes.GONE:
+        _record_call(name, response.status_code, time.monotonic() - started_at)
+        if response.status_code == httpx.codes.GONE:
             raise exceptions.LeaseExpired(str(body.get('lease')))
-        if answer.status_code == httpx.codes.CONFLICT:
-            actual = _read(_Written, answer, name).revision
+        if response.status_code == httpx.codes.CONFLICT:
+            actual = _parse_response(_WriteResponse, response, name).revision
             raise exceptions.Conflict(body['key'], actual)
-        if answer.status_code != httpx.codes.OK:
-            raise exceptions.StoreUnavailable(f'{name}: {answer.status_code}')
-        return answer
+        if response.status_code != httpx.codes.OK:
+            raise exceptions.StoreUnavailable(
+                f'{name}: {response.status_code}'
+            )
+        return response
 
 
-def _count_answer(name: str, status: int, seconds: float) -> None:
+def _record_call(name: str, status: int, seconds: float) -> None:
     outcome = _OUTCOMES.get(status, 'error')
     metrics.STORE_CALLS.increase(name, outcome)
-    # A watch waits on purpose; its time says nothing of the store.
+    # A watch blocks by design, so its time is no latency of the store.
     if name != 'watch':
         metrics.STORE_SECONDS.record(seconds, name)
 
 
-def _read(model: type[_M], answer: httpx.Response, name: str) -> _M:
-    # Something between the two ends may answer in the store's place,
-    # with a page of its own; a write may have taken effect all the same.
+def _parse_response(
+    model: type[_Model], response: httpx.Response, name: str
+) -> _Model:
+    # An intermediary may answer in place of the store, with a page of its
+    # own; a write may still have taken effect.
     try:
-        return model.model_validate_json(answer.content)
+        return model.model_validate_json(response.content)
     except pydantic.ValidationError as error:
         raise exceptions.StoreUnavailable(
             f'{name}: not an answer of the store'
--- a/src/persimmonsail/links.py
+++ b/src/persimmonsail/links.py
@@ -1,10 +1,10 @@
 """Control links between the system's own processes.
 
-A link that goes silent for good, because something between its ends
-lost track of it, raises no error. While a call waits on a link from
-which nothing was heard for a heartbeat, the link is probed; when the
-probe is not answered in time, all calls on the link end and the next
-call connects anew.
+A connection that is dropped silently, for example because a middlebox
+lost its state, raises no error. While a call waits on a link on which
+nothing was received for one heartbeat interval, the link is probed; if
+the probe times out, all calls on the link fail and the next call opens
+a new connection.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 from persimmonsail import metrics
 from persimmonsail import settings as settings_module
 
-_LOST = (
+_CALL_ERRORS = (
     OSError,
     grpclib.exceptions.GRPCError,
     grpclib.exceptions.StreamTerminatedError,
@@ -33,16 +33,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """Time limits of links, in seconds.
+    """Timeouts of links, in seconds.
 
     Attributes
     ----------
     heartbeat : float
-        A link in use that was silent for so long is probed.
+        A link with a waiting call is probed after this time of silence.
     probe : float
-        A probe not answered for so long means that the link is lost.
+        The link counts as lost if a probe is not answered within this time.
     connect : float
-        How long a connection may take.
+        Timeout for establishing a connection.
     """
 
     heartbeat: float = 0.5
@@ -51,18 +51,18 @@
 
 
 def describe_limits(settings: settings_module.Links) -> Limits:
-    """Return the limits that a process's settings name."""
+    """Return the limits configured in a process's settings."""
     return Limits(settings.heartbeat, settings.probe, settings.connect)
 
 
 class _Link:
-    """One channel, and when something was last heard over it."""
+    """A channel and the time of the last response on it."""
 
     def __init__(self, address: str) -> None:
         host, port = addresses.split(address)
         self.address = address
         self.channel = grpclib.client.Channel(host, port)
-        self.heard_at = time.monotonic()
+        self.received_at = time.monotonic()
         self.lost = anyio.Event()
         self.suspect = False
         self._probing = False
@@ -72,21 +72,26 @@
         self.lost.set()
         self.channel.close()
 
-    def note_heard(self) -> None:
-        """Note that the other end is there."""
-        self.heard_at = time.monotonic()
+    def note_received(self) -> None:
+        """Record that the peer responded."""
+        self.received_at = time.monotonic()
         self.suspect = False
 
     async def watch(self, limits: Limits) -> None:
-        """Return once the link is lost; probe it while it is silent.
+        """Probe the link while it is silent; return once it is lost.
 
-        An idle link is not silent, unless a call over it timed out.
+        Idle time before the call does not count as silence, unless an
+        earlier call on the link timed out.
         """
-        began = self.heard_at if self.suspect else time.monotonic()
+        watched_since = self.received_at if self.suspect else time.monotonic()
         while not self.lost.is_set():
-            silent = time.monotonic() - max(self.heard_at, began)
-            if self._probing or silent < limits.heartbeat:
-                pause = max(limits.heartbeat - silent, limits.heartbeat / 4)
+            silent_seconds = time.monotonic() - max(
+                self.received_at, watched_since
+            )
+            if self._probing or silent_seconds < limits.heartbeat:
+                pause = max(
+                    limits.heartbeat - silent_seconds, limits.heartbeat / 4
+                )
                 with anyio.move_on_after(pause):
                     await self.lost.wait()
                 continue
@@ -101,18 +106,18 @@
         try:
             with anyio.fail_after(limits.probe):
                 await stub.Check(health_pb2.HealthCheckRequest())
-        except _LOST as error:
+        except _CALL_ERRORS as error:
             if isinstance(error, grpclib.exceptions.GRPCError):
-                self.note_heard()
+                self.note_received()
                 return
             logs.write_event('link-silent', address=self.address)
             self.lost.set()
         else:
-            self.note_heard()
+            self.note_received()
 
 
 class Links:
-    """Channels to peers by address; use inside ``with``."""
+    """Channels to peers by address; use as a context manager."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         self._limits = limits or Limits()
@@ -128,10 +133,10 @@
 
     def open(self, address: str) -> grpclib.client.Channel:
         """Return the channel to an address."""
-        return self._open(address).channel
+        return self._get_link(address).channel
 
     def drop(self, address: str) -> None:
-        """Close a channel, so that the next call connects anew."""
+        """Close a channel; the next call opens a new connection."""
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
@@ -149,38 +154,38 @@
         Raises
         ------
         persimmonsail.exceptions.LinkRefused
-            If there was no connection, so that nothing was sent.
+            If no connection was established; nothing was sent.
         persimmonsail.exceptions.LinkLost
-            If no answer came in time; the call may have taken effect.
+            If no reply arrived in time; the call may have taken effect.
         """
-        link = self._open(address)
+        link = self._get_link(address)
         await self._connect(link, method, min(timeout, self._limits.connect))
         call = getattr(stub(link.channel), method)
         try:
             with anyio.fail_after(timeout):
                 return await self._watch_call(link, call, message)
-        except _LOST as error:
-            self._note_failure(link, error)
+        except _CALL_ERRORS as error:
+            self._handle_failure(link, error)
             metrics.LINKS_LOST.increase(method)
             name = type(error).__name__
             raise exceptions.LinkLost(f'{method} {address}: {name}') from error
 
-    def _note_failure(self, link: _Link, error: Exception) -> None:
+    def _handle_failure(self, link: _Link, error: Exception) -> None:
         if isinstance(error, grpclib.exceptions.GRPCError):
-            link.note_heard()
+            link.note_received()
         elif isinstance(error, TimeoutError) and not link.lost.is_set():
-            # The answer may only be slow; other calls go on over it.
+            # Only this reply may be slow, so other calls keep the link.
             link.suspect = True
         else:
-            self._drop_link(link)
+            self._remove_link(link)
 
-    async def _connect(self, link: _Link, method: str, limit: float) -> None:
-        # Only the connection's failure proves that nothing was sent.
+    async def _connect(self, link: _Link, method: str, timeout: float) -> None:
+        # Only a failure to connect proves that nothing was sent.
         try:
-            with anyio.fail_after(limit):
+            with anyio.fail_after(timeout):
                 await link.channel.__connect__()
         except (OSError, TimeoutError) as error:
-            self._drop_link(link)
+            self._remove_link(link)
             kind = exceptions.LinkRefused
             if isinstance(error, ConnectionRefusedError):
                 kind = exceptions.PeerAbsent
@@ -196,7 +201,7 @@
         async def make_call() -> None:
             try:
                 replies.append(await call(message))
-            except _LOST as error:
+            except _CALL_ERRORS as error:
                 errors.append(error)
             group.cancel_scope.cancel()
 
@@ -204,24 +209,24 @@
             await link.watch(self._limits)
             group.cancel_scope.cancel()
 
-        # The library ends a broken stream by a plain cancellation of the
-        # task that uses it, and never takes it back. In the caller's own
-        # task a scope would take that for a cancellation from outside and
-        # pass it on: the caller would get a bare status 500.
+        # grpclib aborts a broken stream by cancelling the task that uses it,
+        # and never undoes the cancellation. In the caller's own task, a
+        # cancel scope would treat that as an external cancellation and
+        # propagate it, and the caller would get a bare status 500.
         async with anyio.create_task_group() as group:
             group.start_soon(make_call)
             group.start_soon(watch_link)
         if replies:
-            link.note_heard()
+            link.note_received()
             return replies[0]
-        raise errors[0] if errors else TimeoutError('silent')
+        raise errors[0] if errors else TimeoutError('link probe timed out')
 
-    def _open(self, address: str) -> _Link:
+    def _get_link(self, address: str) -> _Link:
         link = self._links.get(address)
         if link is None:
             link = self._links[address] = _Link(address)
         return link
 
-    def _drop_link(self, link: _Link) -> None:
+    def _remove_link(self, link: _Link) -> None:
         if self._links.get(link.address) is link:
             self.drop(link.address)
--- a/src/persimmonsail/looplag.py
+++ b/src/persimmonsail/looplag.py
@@ -1,8 +1,8 @@
-"""How late the event loop is, as a metric and a log line.
+"""Monitoring of the event loop's lag, as a metric and a log warning.
 
-A process whose loop is busy answers late, renews leases late and takes
-silence of its own for silence of others. None of its other lines tells
-which of the two it was.
+A process whose loop is blocked responds and renews leases late, and
+mistakes its own delay for a peer that does not respond. No other log line
+distinguishes the two cases.
 """
 
 import anyio
@@ -10,19 +10,18 @@
 from persimmonsail import logs
 from persimmonsail import metrics
 
-# Ten looks a second cost 0.05% of a processor.
-_PERIOD_SECONDS = 0.1
-# Later than this is worth a line: half of the time between two renewals of
-# a leader's lease.
-_LATE_SECONDS = 0.25
+# Ten samples a second use 0.05% of a CPU.
+_SAMPLE_INTERVAL_SECONDS = 0.1
+# Half of the interval between two renewals of a leader's lease.
+_WARNING_LAG_SECONDS = 0.25
 
 
 async def watch() -> None:
-    """Measure until cancelled; at most one line in each late interval."""
+    """Sample until cancelled; log at most one warning per late sample."""
     while True:
-        due = anyio.current_time() + _PERIOD_SECONDS
-        await anyio.sleep(_PERIOD_SECONDS)
+        due = anyio.current_time() + _SAMPLE_INTERVAL_SECONDS
+        await anyio.sleep(_SAMPLE_INTERVAL_SECONDS)
         lag = max(anyio.current_time() - due, 0.0)
         metrics.LOOP_LAG_SECONDS.record(lag)
-        if lag > _LATE_SECONDS:
+        if lag > _WARNING_LAG_SECONDS:
             logs.write_warning('loop-late', seconds=lag)
--- a/src/persimmonsail/shutdown.py
+++ b/src/persimmonsail/shutdown.py
@@ -1,4 +1,4 @@
-"""What a graceful stop needs: calls counted, waits ended early."""
+"""Graceful shutdown: call tracking and early end of waits."""
 
 import contextlib
 import typing as t
@@ -9,10 +9,10 @@
 
 
 class Calls:
-    """Counts calls in flight, so that a stop can wait for them.
+    """Tracks calls in flight, so that a shutdown can wait for them.
 
-    The library's server cancels its handlers when it is closed; a
-    caller would lose an answer that was about to be sent.
+    grpclib's server cancels its handlers when it is closed, so a caller
+    would lose a reply that was about to be sent.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
 
     @contextlib.contextmanager
     def track(self) -> t.Iterator[None]:
-        """Count a call while the context is open."""
+        """Count a call as in flight while the context is open."""
         self._count += 1
         try:
             yield
@@ -38,7 +38,7 @@
 
 
 class Stop:
-    """Tells waiting callers that this process is stopping."""
+    """Signals waiting callers that this process is shutting down."""
 
     def __init__(self) -> None:
         self.begun = anyio.Event()
@@ -46,7 +46,7 @@
     async def run_until_begun(
         self, function: t.Callable[..., t.Awaitable[None]], *args: t.Any
     ) -> None:
-        """Run a function; cancel it once the stop begins."""
+        """Run a function; cancel it once the shutdown begins."""
 
         async def run() -> None:
             await function(*args)
@@ -60,17 +60,17 @@
     async def wait_unless_begun(
         self, wait: t.Callable[[float], t.Awaitable[_T]], seconds: float
     ) -> _T:
-        """Call ``wait(seconds)``, or ``wait(0)`` once the stop begins.
+        """Call ``wait(seconds)``, or ``wait(0)`` once the shutdown begins.
 
-        A caller that waits for a task's end would otherwise hold the
-        stop up, or be cut off at its end.
+        Otherwise, a caller waiting for the end of a task would delay the
+        shutdown, or be disconnected when it completes.
         """
         results: list[_T] = []
         errors: list[Exception] = []
 
         async def run() -> None:
-            # Raised outside of the group: callers handle the error
-            # itself, not a group of one.
+            # Raised outside of the task group: callers handle the error
+            # itself, not an exception group.
             try:
                 results.append(await wait(seconds))
             except Exception as error:
@@ -88,10 +88,10 @@
 
 
 class CloseConnections:
-    """ASGI middleware: asks clients not to keep connections at a stop.
+    """ASGI middleware that asks for closed connections during a shutdown.
 
-    A client that sends on a kept connection in the moment the server
-    closes it sees a reset, and can not know whether its request ran.
+    A client that sends on a persistent connection just as the server
+    closes it sees a reset, and cannot know whether its request ran.
     """
 
     def __init__(self, app: t.Any, is_stopping: t.Callable[[], bool]) -> None:
@@ -99,11 +99,11 @@
         self._is_stopping = is_stopping
 
     async def __call__(self, scope: t.Any, receive: t.Any, send: t.Any):
-        """Serve one request."""
+        """Handle one request."""
 
         async def send_closing(message: t.Any) -> None:
-            starts = message['type'] == 'http.response.start'
-            if starts and self._is_stopping():
+            is_start = message['type'] == 'http.response.start'
+            if is_start and self._is_stopping():
                 headers = [*message.get('headers', ())]
                 headers.append((b'connection', b'close'))
                 message = {**message, 'headers': headers}
--- a/src/persimmonsail/store.py
+++ b/src/persimmonsail/store.py
@@ -1,6 +1,6 @@
-"""The narrow interface to the platform's key-value service.
+"""Interface to the platform's key-value store.
 
-Another store is one more module with a class under ``register``.
+To add a store, write a module with a class decorated by ``register``.
 """
 
 import abc
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Page:
-    """All items below a prefix at one store revision."""
+    """The items under a prefix at one store revision."""
 
     revision: int
     items: tuple[Item, ...]
@@ -30,12 +30,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Write:
-    """One key that a transaction sets.
+    """A key that a transaction sets.
 
     Attributes
     ----------
     key, value : str
-        What is written.
+        Key and value to write.
     lease : str, optional
         The key is deleted when this lease ends.
     """
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """One change that a watch reports; no value for a deleted key."""
+    """A change that a watch reports; a deleted key has no value."""
 
     key: str
     value: str | None
@@ -56,26 +56,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes:
-    """What changed below a prefix, and the revision to go on from."""
+    """Changes under a prefix, and the revision to continue from."""
 
     revision: int
     changes: tuple[Change, ...]
 
 
 class Store(abc.ABC):
-    """What the system asks of the platform's store.
+    """Operations required of the platform's store.
 
-    Each call raises ``StoreUnavailable`` when no answer came in time;
-    a write may then have taken effect all the same.
+    Each call raises ``StoreUnavailable`` if no response arrives in time;
+    a write may still have taken effect.
     """
 
     @abc.abstractmethod
     async def get(self, key: str) -> Item | None:
-        """Return a key's item, or nothing."""
+        """Return a key's item, or None if the key is absent."""
 
     @abc.abstractmethod
     async def scan(self, prefix: str) -> Page:
-        """Return all items below a prefix."""
+        """Return all items under a prefix."""
 
     @abc.abstractmethod
     async def put(
@@ -90,7 +90,7 @@
         Parameters
         ----------
         key, value : str
-            What to write; at most a megabyte.
+            Key and value to write; at most one megabyte.
         expected : int, optional
             Write only if the key is at this revision; 0 means absent.
         lease : str, optional
@@ -101,20 +101,20 @@
         Conflict
             If the key is at another revision.
         LeaseExpired
-            If the store does not know the lease.
+            If the lease does not exist.
         """
 
     @abc.abstractmethod
     async def delete(self, key: str, expected: int | None = None) -> None:
-        """Delete a key, if it is at the expected revision."""
+        """Delete a key if it is at the expected revision."""
 
     @abc.abstractmethod
     async def grant_lease(self, seconds: float) -> str:
-        """Return a new lease's identifier."""
+        """Create a lease and return its identifier."""
 
     @abc.abstractmethod
     async def renew_lease(self, lease: str) -> None:
-        """Extend a lease by its full time."""
+        """Extend a lease by its full duration."""
 
     @abc.abstractmethod
     async def revoke_lease(self, lease: str) -> None:
@@ -122,41 +122,41 @@
 
     @abc.abstractmethod
     async def watch(self, prefix: str, after: int, wait: float) -> Page:
-        """Wait for changes below a prefix.
+        """Wait for changes under a prefix.
 
         Parameters
         ----------
         prefix : str
-            The keys to watch.
+            Prefix of the keys to watch.
         after : int
-            Return once something below the prefix changed after this
+            Return once a key under the prefix has changed after this
             revision.
         wait : float
-            Seconds to wait at the most.
+            Maximum seconds to wait.
 
         Returns
         -------
         Page
-            The items changed since; none when the time is over.
+            The items changed since that revision; none after a timeout.
         """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
 
 
 class TransactionalStore(Store):
-    """A store that also writes several keys at once, under conditions."""
+    """A store with conditional transactions over several keys."""
 
     @property
     @abc.abstractmethod
     def is_lost(self) -> bool:
-        """Whether calls fail and none has succeeded for a while."""
+        """Whether calls fail and none has succeeded for some time."""
 
     @property
     @abc.abstractmethod
     def silent_seconds(self) -> float:
-        """For how long the store has answered no call of this process."""
+        """Seconds for which the store has answered no call of this process."""
 
     @abc.abstractmethod
     async def commit(
@@ -165,14 +165,14 @@
         writes: t.Sequence[Write],
         removals: t.Sequence[str] = (),
     ) -> int:
-        """Write all keys, or none; return the new revision.
+        """Write all keys or none, and return the new revision.
 
         Parameters
         ----------
         conditions : mapping of str to int
-            The revision at which each key has to be; 0 means absent.
+            Required revision of each key; 0 means absent.
         writes : sequence of Write
-            What to set.
+            Keys to set.
         removals : sequence of str
             Keys to delete.
 
@@ -181,45 +181,46 @@
         persimmonsail.exceptions.TransactionConflict
             If a key is at another revision.
         persimmonsail.exceptions.LeaseExpired
-            If the store does not know a lease.
+            If a lease does not exist.
         persimmonsail.exceptions.CallRefused
-            If the store said that nothing was written.
+            If the store reported that nothing was written.
         persimmonsail.exceptions.StoreUnavailable
-            If no answer came; it may take effect now or seconds later.
+            If no response arrived; the commit may still take effect, even
+            seconds later.
         """
 
     @abc.abstractmethod
     async def follow(self, prefix: str, after: int, wait: float) -> Changes:
-        """Wait for changes below a prefix, deletions among them.
+        """Wait for changes under a prefix, including deletions.
 
         Raises
         ------
         persimmonsail.exceptions.HistoryLost
-            If the store has forgotten what came after that revision; the
-            prefix has to be scanned anew.
+            If the store has discarded the changes after that revision; the
+            prefix has to be scanned again.
         """
 
 
 KINDS: dict[str, t.Callable[..., Store]] = {}
 
 
-_MODULES = ('persimmonsail.httpstore', 'persimmonsail.platform.kvstore')
+_STORE_MODULES = ('persimmonsail.httpstore', 'persimmonsail.platform.kvstore')
 
 
 def load_kinds() -> dict[str, t.Callable[..., Store]]:
-    """Import every module that registers a kind; return all kinds."""
-    for module in _MODULES:
+    """Import the modules that register kinds; return all kinds."""
+    for module in _STORE_MODULES:
         importlib.import_module(module)
     return KINDS
 
 
 def open_kind(kind: str, address: str, timeout: float) -> Store:
-    """Return a store of a registered kind.
+    """Create a store of a registered kind.
 
     Raises
     ------
     persimmonsail.exceptions.UnknownKind
-        If no module registers it.
+        If the kind is not registered.
     """
     kinds = load_kinds()
     if kind not in kinds:
@@ -228,7 +229,7 @@
 
 
 def register(kind: str) -> t.Callable[[type], type]:
-    """Add a store class under the name that settings use."""
+    """Register a store class under its name in the settings."""
 
     def add(cls: type) -> type:
         KINDS[kind] = cls
--- a/tests/base.py
+++ b/tests/base.py
@@ -1,4 +1,4 @@
-"""What all tests share."""
+"""The base class of all test cases."""
 
 import functools
 import inspect
@@ -13,11 +13,10 @@
 
 from persimmonsail import logs
 
-# Where the directories of tests that fail are kept.
-KEPT_VARIABLE = 'PERSIMMONSAIL_KEPT'
-_KEPT = 'build/failed'
-# So many lines of a failed test's processes are printed.
-_MOST_WARNINGS = 60
+# Where the directories of failed tests are saved.
+FAILED_DIRECTORY_VARIABLE = 'PERSIMMONSAIL_KEPT'
+_FAILED_DIRECTORY = 'build/failed'
+_MAX_PRINTED_WARNINGS = 60
 
 
 def _run_in_loop(method):
@@ -29,36 +28,39 @@
 
 
 def _print_warnings(directory: pathlib.Path) -> None:
-    """Print the last warnings of all logs there, by their times."""
+    """Print the last warnings of all logs in a directory, by time."""
     lines = [
         line
         for path in directory.rglob('*.log')
         for line in path.read_text(errors='replace').splitlines()
         if ' level=warning ' in line or ' level=error ' in line
     ]
-    for line in sorted(lines)[-_MOST_WARNINGS:]:
+    for line in sorted(lines)[-_MAX_PRINTED_WARNINGS:]:
         print(line)
-    for name, event in find_standstills(lines).items():
+    for name, event in find_longest_stalls(lines).items():
         print(
-            f'{name} stood still for {event["seconds"]} s at {event["time"]}'
+            f'{name}: event loop blocked for {event["seconds"]} s'
+            f' at {event["time"]}'
         )
 
 
-def find_standstills(lines: t.Iterable[str]) -> dict[str, dict[str, str]]:
-    """Return the longest standstill of each process that had any."""
-    found: dict[str, dict[str, str]] = {}
+def find_longest_stalls(lines: t.Iterable[str]) -> dict[str, dict[str, str]]:
+    """Return the longest event loop stall of each process that had one."""
+    stalls: dict[str, dict[str, str]] = {}
     for line in lines:
         if ' event=loop-late ' not in line:
             continue
         event = logs.parse_line(line)
-        known = found.get(event['process'])
-        if known is None or float(event['seconds']) > float(known['seconds']):
-            found[event['process']] = event
-    return found
+        longest = stalls.get(event['process'])
+        if longest is None or float(event['seconds']) > float(
+            longest['seconds']
+        ):
+            stalls[event['process']] = event
+    return stalls
 
 
 class TestCase(testtools.TestCase):
-    """Runs a coroutine method as a test, in an event loop of its own."""
+    """Runs each coroutine test method in its own event loop."""
 
     def __init_subclass__(cls, **kwargs):
         super().__init_subclass__(**kwargs)
@@ -67,22 +69,24 @@
                 setattr(cls, name, _run_in_loop(value))
 
     def make_directory(self) -> pathlib.Path:
-        """Return a directory that goes with the test.
+        """Return a temporary directory for the test.
 
-        What its processes have logged is the only trace of a rare fault, so
-        their last warnings are printed if the test fails, and the directory
-        is kept.
+        The logs of the test's processes are the only trace of a rare fault,
+        so if the test fails, their last warnings are printed and the
+        directory is saved.
         """
         directory = tempfile.TemporaryDirectory(prefix='persimmonsail-')
         self.addCleanup(directory.cleanup)
         path = pathlib.Path(directory.name)
-        self.addOnException(functools.partial(self._keep, path))
+        self.addOnException(functools.partial(self._save_directory, path))
         return path
 
-    def _keep(self, path: pathlib.Path, exc_info: tuple) -> None:
+    def _save_directory(self, path: pathlib.Path, exc_info: tuple) -> None:
         _print_warnings(path)
-        kept = pathlib.Path(os.environ.get(KEPT_VARIABLE, _KEPT))
+        saved = pathlib.Path(
+            os.environ.get(FAILED_DIRECTORY_VARIABLE, _FAILED_DIRECTORY)
+        )
         if path.exists():
-            place = kept / self.id() / path.name
-            shutil.copytree(path, place, dirs_exist_ok=True)
-            print(f'kept in {place}')
+            target = saved / self.id() / path.name
+            shutil.copytree(path, target, dirs_exist_ok=True)
+            print(f'saved to {target}')
--- a/tests/clock.py
+++ b/tests/clock.py
@@ -1,10 +1,10 @@
-"""A clock that moves only when a test moves it."""
+"""A manually advanced clock."""
 
 import time
 
 
 class Clock:
-    """Takes the place of the module ``time`` in one module."""
+    """Replaces the ``time`` module within a module under test."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/conformance.py
+++ b/tests/conformance.py
@@ -1,4 +1,4 @@
-"""What every store adapter must do; each adapter's test derives from it."""
+"""Conformance tests of store adapters; each adapter's test subclasses them."""
 
 import contextlib
 
@@ -12,20 +12,20 @@
 
 LEASE_SECONDS = 60.0
 WAIT_SECONDS = 30.0
-RACERS = 8
+WRITERS = 8
 
 
-async def wait_watched(kept: memory.MemoryStore) -> None:
+async def wait_for_watch(memory_store: memory.MemoryStore) -> None:
     with anyio.fail_after(WAIT_SECONDS):
-        while not kept.calls.watch:
+        while not memory_store.calls.watch:
             await anyio.lowlevel.checkpoint()
 
 
 class StoreConformance(base.TestCase):
-    """Held against the adapter that ``open_store`` yields.
+    """Runs against the adapter that ``open_store`` yields.
 
-    Its second value is the ``MemoryStore`` behind the adapter, on which
-    faults are set.
+    The second yielded value is the ``MemoryStore`` behind the adapter, on
+    which tests set faults.
     """
 
     def open_store(
@@ -45,37 +45,39 @@
             )
             self.assertGreater(await store.put('a', 'b'), revision)
 
-    async def test_swap_needs_the_expected_revision(self):
+    async def test_conditional_write_requires_the_expected_revision(self):
         async with self.open_store() as (store, _):
             first = await store.put('a', '1', 0)
-            error = await self.fail_with(
+            error = await self.check_raises(
                 exceptions.Conflict, store.put, 'a', '2', 0
             )
             self.assertEqual(first, error.actual)
             second = await store.put('a', '2', first)
-            await self.fail_with(exceptions.Conflict, store.delete, 'a', first)
+            await self.check_raises(
+                exceptions.Conflict, store.delete, 'a', first
+            )
             await store.delete('a', second)
             await store.delete('a')
-            error = await self.fail_with(
+            error = await self.check_raises(
                 exceptions.Conflict, store.put, 'a', '3', second
             )
             self.assertEqual(0, error.actual)
 
-    async def test_one_of_many_racers_wins(self):
-        won = []
+    async def test_one_of_many_concurrent_writers_wins(self):
+        winners = []
 
-        async def race(store, number):
+        async def write(store, number):
             with contextlib.suppress(exceptions.Conflict):
                 await store.put('a', str(number), 0)
-                won.append(str(number))
+                winners.append(str(number))
 
         async with self.open_store() as (store, _):
             async with anyio.create_task_group() as group:
-                for number in range(RACERS):
-                    group.start_soon(race, store, number)
-            self.assertEqual(won, [(await store.get('a')).value])
+                for number in range(WRITERS):
+                    group.start_soon(write, store, number)
+            self.assertEqual(winners, [(await store.get('a')).value])
 
-    async def test_scan_lists_a_prefix_in_order(self):
+    async def test_scan_lists_a_prefix_in_key_order(self):
         async with self.open_store() as (store, _):
             for key in ('a/2', 'a/1', 'b/1'):
                 await store.put(key, key)
@@ -93,22 +95,22 @@
             page = await store.watch('a/', page.revision, WAIT_SECONDS)
             self.assertEqual(['a/2'], [i.key for i in page.items])
 
-    async def test_waiting_watch_is_woken_and_counts_once(self):
+    async def test_waiting_watch_returns_on_a_change_in_one_call(self):
         pages = []
 
         async def watch(store):
             pages.append(await store.watch('a/', 0, WAIT_SECONDS))
 
-        async with self.open_store() as (store, kept):
+        async with self.open_store() as (store, memory_store):
             async with anyio.create_task_group() as group:
                 group.start_soon(watch, store)
-                await wait_watched(kept)
+                await wait_for_watch(memory_store)
                 await store.put('b/1', 'other')
                 await store.put('a/1', 'x')
             self.assertEqual(['a/1'], [i.key for i in pages[0].items])
-            self.assertEqual(1, kept.calls.watch)
+            self.assertEqual(1, memory_store.calls.watch)
 
-    async def test_watch_tells_a_deletion_by_returning(self):
+    async def test_deletion_ends_a_watch_without_items(self):
         async with self.open_store() as (store, _):
             revision = await store.put('a/1', 'x')
             await store.delete('a/1')
@@ -116,13 +118,13 @@
             self.assertEqual((), page.items)
             self.assertGreater(page.revision, revision)
 
-    async def test_watch_ends_empty_when_its_time_is_over(self):
+    async def test_watch_times_out_without_items(self):
         async with self.open_store() as (store, _):
             revision = await store.put('a/1', 'x')
             page = await store.watch('a/', revision, 0.02)
             self.assertEqual((revision, ()), (page.revision, page.items))
 
-    async def test_revoked_lease_takes_its_keys_along(self):
+    async def test_revoked_lease_deletes_its_keys(self):
         async with self.open_store() as (store, _):
             lease = await store.grant_lease(LEASE_SECONDS)
             await store.put('a', 'x', lease=lease)
@@ -132,15 +134,15 @@
             await store.revoke_lease(lease)
             self.assertIsNone(await store.get('a'))
             self.assertEqual('y', (await store.get('kept')).value)
-            await self.fail_with(
+            await self.check_raises(
                 exceptions.LeaseExpired, store.renew_lease, lease
             )
-            await self.fail_with(
+            await self.check_raises(
                 exceptions.LeaseExpired, store.put, 'a', 'z', None, lease
             )
             self.assertIsNone(await store.get('a'))
 
-    async def test_lapsed_lease_takes_its_keys_along(self):
+    async def test_expired_lease_deletes_its_keys(self):
         async with self.open_store() as (store, _):
             lease = await store.grant_lease(0.02)
             with contextlib.suppress(exceptions.LeaseExpired):
@@ -148,13 +150,13 @@
             with anyio.fail_after(WAIT_SECONDS):
                 while await store.get('a') is not None:
                     await anyio.lowlevel.checkpoint()
-            await self.fail_with(
+            await self.check_raises(
                 exceptions.LeaseExpired, store.renew_lease, lease
             )
 
     async def test_outage_fails_every_call_and_changes_nothing(self):
-        async with self.open_store() as (store, kept):
-            kept.faults = memory.Faults(down=True)
+        async with self.open_store() as (store, memory_store):
+            memory_store.faults = memory.Faults(down=True)
             for call, arguments in (
                 (store.get, ('a',)),
                 (store.scan, ('a',)),
@@ -165,46 +167,46 @@
                 (store.revoke_lease, ('l',)),
                 (store.watch, ('a', 0, 1.0)),
             ):
-                await self.fail_with(
+                await self.check_raises(
                     exceptions.StoreUnavailable, call, *arguments
                 )
-            kept.faults = memory.Faults()
+            memory_store.faults = memory.Faults()
             self.assertIsNone(await store.get('a'))
 
     async def test_outage_ends_a_waiting_watch(self):
-        async with self.open_store() as (store, kept):
+        async with self.open_store() as (store, memory_store):
             async with anyio.create_task_group() as group:
                 group.start_soon(
-                    self.fail_with,
+                    self.check_raises,
                     exceptions.StoreUnavailable,
                     store.watch,
                     'a',
                     0,
                     WAIT_SECONDS,
                 )
-                await wait_watched(kept)
-                # A later call's answer shows that the watch is waiting.
+                await wait_for_watch(memory_store)
+                # The response to a later call shows that the watch is waiting.
                 await store.get('a')
-                kept.faults = memory.Faults(down=True)
+                memory_store.faults = memory.Faults(down=True)
 
-    async def test_lost_answer_leaves_the_write(self):
-        async with self.open_store() as (store, kept):
-            kept.faults = memory.Faults(lose_answers=1)
-            await self.fail_with(
+    async def test_write_with_a_lost_response_takes_effect(self):
+        async with self.open_store() as (store, memory_store):
+            memory_store.faults = memory.Faults(lose_answers=1)
+            await self.check_raises(
                 exceptions.StoreUnavailable, store.put, 'a', 'x', 0
             )
             self.assertEqual('x', (await store.get('a')).value)
 
     async def test_silent_watch_reports_nothing(self):
-        async with self.open_store() as (store, kept):
-            kept.faults = memory.Faults(silent_watches=True)
+        async with self.open_store() as (store, memory_store):
+            memory_store.faults = memory.Faults(silent_watches=True)
             await store.put('a', 'x')
             page = await store.watch('a', 0, 0.02)
             self.assertEqual((), page.items)
             self.assertEqual('x', (await store.get('a')).value)
 
-    async def fail_with(self, expected, call, *arguments):
-        """Return the error that a call must end with."""
+    async def check_raises(self, expected, call, *arguments):
+        """Check that a call raises the expected error, and return it."""
         try:
             await call(*arguments)
         except expected as error:
--- a/tests/contract.py
+++ b/tests/contract.py
@@ -1,4 +1,4 @@
-"""Holds HTTP responses against the files of the interfaces."""
+"""Validates HTTP responses against the OpenAPI documents."""
 
 import json
 import pathlib
@@ -15,11 +15,11 @@
 _BASE = 'urn:persimmonsail:openapi'
 _ANY = '*/*'
 
-Answer = tuple[str, str, str]
+DocumentedResponse = tuple[str, str, str]
 
 
 class Contract:
-    """The interface's file, and which of its answers were met."""
+    """An OpenAPI document, and which of its responses were covered."""
 
     def __init__(self, file: pathlib.Path = FILE) -> None:
         self.document = json.loads(file.read_text(encoding='utf-8'))
@@ -28,19 +28,19 @@
             default_specification=referencing.jsonschema.DRAFT202012,
         )
         self._registry = referencing.Registry().with_resource(_BASE, resource)
-        self.met: set[Answer] = set()
+        self.met: set[DocumentedResponse] = set()
         self.met_fields: set[str] = set()
 
     def list_operations(self) -> set[tuple[str, str]]:
-        """Return every method and path of the file."""
+        """Return every method and path of the document."""
         return {
             (method, path)
             for path, item in self.document['paths'].items()
             for method in item
         }
 
-    def list_answers(self) -> set[Answer]:
-        """Return every method, path and status of the file."""
+    def list_answers(self) -> set[DocumentedResponse]:
+        """Return every method, path and status of the document."""
         return {
             (method, path, status)
             for path, item in self.document['paths'].items()
@@ -49,7 +49,7 @@
         }
 
     def list_fields(self) -> set[str]:
-        """Return every field of an answer's body."""
+        """Return every field of the response bodies."""
         schemas = self.document['components']['schemas']
         return {
             f'{name}.{field}'
@@ -58,12 +58,12 @@
         }
 
     def check(self, method: str, path: str, response: httpx.Response) -> None:
-        """Check one response against the operation that gave it.
+        """Validate a response of an operation, and record it as covered.
 
         Raises
         ------
         AssertionError, jsonschema.ValidationError
-            If the file does not allow it.
+            If the document does not allow the response.
         """
         operation = self.document['paths'][path][method]
         status = str(response.status_code)
@@ -74,7 +74,7 @@
         self.met.add((method, path, status))
 
     def check_problem(self, response: httpx.Response) -> None:
-        """Check a problem that no operation of the file gave."""
+        """Validate a problem response of an undocumented operation."""
         assert response.headers['content-type'] == 'application/problem+json'
         self._validate(
             {'$ref': f'{_BASE}#/components/schemas/Problem'}, response.json()
@@ -96,12 +96,12 @@
     def _check_body(
         self, content: dict[str, t.Any], response: httpx.Response
     ) -> None:
-        kind = response.headers['content-type'].partition(';')[0]
-        assert kind in content or _ANY in content, kind
-        schema = content.get(kind, {}).get('schema')
+        media_type = response.headers['content-type'].partition(';')[0]
+        assert media_type in content or _ANY in content, media_type
+        schema = content.get(media_type, {}).get('schema')
         if schema is None:
             return
-        is_json = kind.endswith('json')
+        is_json = media_type.endswith('json')
         body = response.json() if is_json else response.text
         self._validate(self._make_absolute(schema), body)
         if is_json:
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -5,11 +5,11 @@
 
 
 class AddressesTest(base.TestCase):
-    def test_listening_socket_says_that_it_is_tcp(self):
+    def test_listening_socket_declares_tcp(self):
         """Every quick request takes 40 ms longer than its work.
 
-        The event loop turns Nagle's algorithm off only for sockets that
-        name TCP; accepted sockets inherit that from the listening one.
+        The event loop disables Nagle's algorithm only on sockets whose
+        protocol is TCP; accepted sockets inherit it from the listening one.
         """
         sock = addresses.bind('127.0.0.1:0')
         self.addCleanup(sock.close)
--- a/tests/test_httpclient.py
+++ b/tests/test_httpclient.py
@@ -15,14 +15,14 @@
     b'HTTP/1.1 409 Conflict\r\ntransfer-encoding: chunked\r\n\r\n'
     b'2\r\nno\r\n3\r\npe!\r\n0\r\n\r\n'
 )
-CUT = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal'
+TRUNCATED = b'HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhal'
 
 
-class Service:
-    """Answers each request on a connection with the next given bytes.
+class ScriptedService:
+    """Answers each request with the next of the given replies.
 
-    ``None`` closes the connection, a number waits so long first, and a
-    tuple is sent part by part, numbers in it being pauses.
+    ``None`` closes the connection, a float delays the next reply by that
+    many seconds, and a tuple is sent part by part; floats in it are pauses.
     """
 
     def __init__(self, *replies):
@@ -53,7 +53,7 @@
             await self.send_parts(stream, reply)
             return True
         await stream.send(reply)
-        return reply != CUT
+        return reply != TRUNCATED
 
     async def send_parts(self, stream, parts):
         for part in parts:
@@ -66,7 +66,7 @@
 class HttpClientTest(base.TestCase):
     @contextlib.asynccontextmanager
     async def open(self, *replies, timeout=1.0):
-        service = Service(*replies)
+        service = ScriptedService(*replies)
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         client = httpclient.Client(f'127.0.0.1:{port}', timeout)
@@ -77,7 +77,7 @@
             group.cancel_scope.cancel()
         await listener.aclose()
 
-    async def test_calls_share_a_connection(self):
+    async def test_sequential_calls_share_a_connection(self):
         async with self.open(OK, CHUNKED, OK) as (client, service):
             first = await client.call('GET', '/v1/one?key=a')
             self.assertEqual(httpclient.Answer(200, b'ok'), first)
@@ -91,10 +91,10 @@
             self.assertTrue(service.requests[1].endswith(b'{"a":1}'))
 
     async def test_an_answer_may_come_slowly_and_not_stop(self):
-        """A long answer over a thin link is never read to its end.
+        """A long response over a slow link can never be read completely.
 
-        It took longer than a call may, although bytes of it came all the
-        time. One that stops is given up as before.
+        The timeout applied to the whole response, although data kept
+        arriving. A response that stalls still times out.
         """
         head = b'HTTP/1.1 200 OK\r\ncontent-length: 6\r\n\r\n'
         slow = (head, *(part for i in range(6) for part in (0.2, b'x')))
@@ -112,38 +112,38 @@
         endless = b'HTTP/1.1 200 OK\r\ncontent-length: 9999\r\n\r\n'
         parts = (endless, *(part for i in range(99) for part in (0.05, b'x')))
         async with self.open(parts, timeout=0.2) as (client, _):
-            client.longest = 0.6
+            client.max_call_seconds = 0.6
             with testtools.ExpectedException(exceptions.ServiceUnanswered):
                 await client.call('GET', '/v1/one')
 
     async def test_an_error_tells_whose_the_time_was(self):
-        """Whoever is on call can't tell a slow service from a slow process.
+        """Operators can't tell a slow service from a blocked process.
 
-        Both end as a call without an answer, and only one of them is the
-        service's fault.
+        Both show up as a call without a response, but only the first is a
+        fault of the service.
         """
         async with self.open(5.0, 5.0, OK, OK, timeout=0.2) as (client, _):
-            silent = await self.read_lateness(client)
+            service_delay = await self.read_detection_delay(client)
             async with anyio.create_task_group() as group:
-                group.start_soon(self.hold_up, 1.0)
-                held_up = await self.read_lateness(client)
-        self.assertLess(silent, held_up)
-        self.assertGreater(held_up, 0.8)
+                group.start_soon(self.block_loop, 1.0)
+                blocked_delay = await self.read_detection_delay(client)
+        self.assertLess(service_delay, blocked_delay)
+        self.assertGreater(blocked_delay, 0.8)
 
-    async def read_lateness(self, client):
-        """Return how late a call noticed that its time was over."""
+    async def read_detection_delay(self, client):
+        """Return how long after its deadline a call detected the timeout."""
         try:
             await client.call('GET', '/v1/one')
         except exceptions.ServiceUnanswered as error:
             return float(re.search(r'([\d.]+) s late', str(error))[1])
-        raise AssertionError('the call was answered')
+        raise AssertionError('the call did not time out')
 
-    async def hold_up(self, seconds):
-        """Keep the event loop from doing anything."""
+    async def block_loop(self, seconds):
+        """Block the event loop."""
         await anyio.sleep(0.1)
         time.sleep(seconds)  # noqa: ASYNC251
 
-    async def test_calls_at_the_same_time_do_not_wait_for_each_other(self):
+    async def test_concurrent_calls_do_not_wait_for_each_other(self):
         async with self.open(0.3, OK, OK) as (client, service):
             async with anyio.create_task_group() as group:
                 group.start_soon(client.call, 'GET', '/slow')
@@ -152,11 +152,10 @@
                     await client.call('GET', '/quick')
             self.assertEqual(2, service.connections)
 
-    async def test_a_connection_that_was_closed_is_not_used_again(self):
-        """An order has no answer although the worker's agent is well.
+    async def test_a_closed_connection_is_not_reused(self):
+        """An order gets no response although the worker's agent is healthy.
 
-        The agent had closed the idle connection that the order was sent
-        on.
+        The order was sent on an idle connection that the agent had closed.
         """
         async with self.open(OK, None, OK) as (client, service):
             await client.call('GET', '/')
@@ -167,9 +166,12 @@
             self.assertEqual(200, answer.status)
             self.assertEqual(2, service.connections)
 
-    async def test_what_was_not_sent_is_told_from_what_has_no_answer(self):
-        """An order that was never sent waits for its lease to run out."""
-        async with self.open(None, CUT, 0.5, OK, timeout=0.2) as (client, _):
+    async def test_unsent_and_unanswered_requests_raise_different_errors(self):
+        """An order that was never sent is blocked until its lease expires."""
+        async with self.open(None, TRUNCATED, 0.5, OK, timeout=0.2) as (
+            client,
+            _,
+        ):
             for _ in range(3):
                 with self.assertRaises(exceptions.ServiceUnanswered):
                     await client.call('POST', '/', {})
@@ -177,14 +179,14 @@
         with self.assertRaises(exceptions.ServiceNotReached):
             await client.call('GET', '/')
 
-    async def test_an_answer_never_belongs_to_an_earlier_call(self):
-        """A look shows the answer to another one.
+    async def test_a_late_response_is_not_returned_to_the_next_call(self):
+        """A poll returns the response to an earlier request.
 
-        A call was cancelled while it waited, and its answer came to the
-        next call on the same connection.
+        A call was cancelled while waiting, and its response was delivered
+        to the next call on the same connection.
         """
-        late = OK.replace(b'ok', b'xx')
-        async with self.open(0.1, late, OK) as (client, service):
+        late_response = OK.replace(b'ok', b'xx')
+        async with self.open(0.1, late_response, OK) as (client, service):
             with anyio.move_on_after(0.05):
                 await client.call('GET', '/first')
             await anyio.sleep(0.1)
@@ -192,7 +194,7 @@
             self.assertEqual(b'ok', answer.content)
             self.assertEqual(2, service.connections)
 
-    async def test_a_body_that_is_no_http_is_no_answer(self):
+    async def test_a_response_that_is_not_http_is_an_error(self):
         async with self.open(b'\x00\x01garbage\r\n\r\n') as (client, _):
             with self.assertRaises(exceptions.ServiceUnanswered):
                 await client.call('GET', '/')
@@ -200,16 +202,16 @@
     async def test_an_answer_at_the_very_limit_is_no_answer(self):
         """An entry answers a read with 500 and an empty body.
 
-        The limit of its call to the store was over, and in the same moment
-        bytes came that moved the limit on: the call was cancelled and took
-        itself for one that had ended well, without an answer.
+        Its call to the store reached the deadline just as data arrived and
+        extended the deadline: the call was cancelled, but was treated as
+        completed, without a response.
         """
-        limit = httpclient._Limit(30.0, 60.0)
+        deadline = httpclient._Deadline(30.0, 60.0)
 
         async def call():
-            with limit.enforce():
-                limit._scope.cancel()
-                limit.note_data(1)
+            with deadline.enforce():
+                deadline._scope.cancel()
+                deadline.note_data(1)
                 await anyio.sleep(0.0)
 
         with self.assertRaises(TimeoutError):
--- a/tests/test_httpstore.py
+++ b/tests/test_httpstore.py
@@ -19,27 +19,27 @@
 class HttpStoreTest(conformance.StoreConformance):
     @contextlib.asynccontextmanager
     async def open_store(self):
-        served = store_stand_in.StoreServer()
+        store_server = store_stand_in.StoreServer()
         async with httpserver.HttpServer(
-            served.app, '127.0.0.1:0', drain=0.1
+            store_server.app, '127.0.0.1:0', drain=0.1
         ) as server:
             async with anyio.create_task_group() as group:
-                group.start_soon(served.expire_leases)
+                group.start_soon(store_server.expire_leases)
                 store = httpstore.HttpStore(server.address, 20.0)
-                yield store, served.memory
+                yield store, store_server.memory
                 await store.close()
                 group.cancel_scope.cancel()
 
 
-class StrangeAnswersTest(base.TestCase):
-    """Something else answers in the store's place."""
+class InvalidResponseTest(base.TestCase):
+    """Something other than the store responds, or nothing does."""
 
-    async def check(self, body: str, status: int = 200):
-        async def answer(request):
+    async def check_unavailable(self, body: str, status: int = 200):
+        async def respond(request):
             return responses.PlainTextResponse(body, status)
 
         app = applications.Starlette(
-            routes=[routing.Route('/v1/{n:path}', answer, methods=['POST'])]
+            routes=[routing.Route('/v1/{n:path}', respond, methods=['POST'])]
         )
         async with httpserver.HttpServer(
             app, '127.0.0.1:0', drain=0.1
@@ -54,42 +54,42 @@
             ):
                 try:
                     await call(*arguments)
-                    self.fail(f'{call.__name__} took {body!r}')
+                    self.fail(f'{call.__name__} accepted {body!r}')
                 except exceptions.StoreUnavailable:
                     pass
             await store.close()
 
-    async def test_no_json(self):
-        await self.check('<html>welcome</html>')
+    async def test_invalid_json(self):
+        await self.check_unavailable('<html>welcome</html>')
 
-    async def test_json_of_another_form(self):
-        await self.check('{"items": [{"key": 1}], "item": 7}')
+    async def test_json_with_another_schema(self):
+        await self.check_unavailable('{"items": [{"key": 1}], "item": 7}')
 
     async def test_server_error(self):
-        await self.check('{}', 500)
+        await self.check_unavailable('{}', 500)
 
     async def test_conflict_without_a_revision(self):
-        await self.check('oops', 409)
+        await self.check_unavailable('oops', 409)
 
-    async def test_nobody_listens(self):
+    async def test_connection_refused(self):
         sock = addresses.bind('127.0.0.1:0')
         address = addresses.name_of(sock)
         sock.close()
         store = httpstore.HttpStore(address, 20.0)
         try:
             await store.get('a')
-            self.fail('an answer from nobody')
+            self.fail('got a response although nothing listens')
         except exceptions.StoreUnavailable:
             pass
         finally:
             await store.close()
 
-    async def test_answer_after_the_time_limit(self):
-        async def answer(request):
+    async def test_response_timeout(self):
+        async def respond(request):
             await anyio.sleep_forever()
 
         app = applications.Starlette(
-            routes=[routing.Route('/v1/get', answer, methods=['POST'])]
+            routes=[routing.Route('/v1/get', respond, methods=['POST'])]
         )
         async with httpserver.HttpServer(
             app, '127.0.0.1:0', drain=0.1
@@ -97,7 +97,7 @@
             store = httpstore.HttpStore(server.address, 0.05)
             try:
                 await store.get('a')
-                self.fail('an answer that was never given')
+                self.fail('got a response that was never sent')
             except exceptions.StoreUnavailable as error:
                 self.assertIn('ReadTimeout', str(error))
             finally:
@@ -105,17 +105,19 @@
 
 
 class IdleConnectionTest(base.TestCase):
-    async def test_no_call_meets_the_close_of_an_idle_connection(self):
-        """A write has no answer, and its holder is in doubt of it.
+    async def test_idle_connections_are_not_reused_near_the_server_timeout(
+        self,
+    ):
+        """A write gets no response, so its holder can't know its outcome.
 
         The store closes connections that were idle for 5 s, just as the next
-        call leaves on one.
+        call is sent on one.
         """
-        opened = 0
+        connections = 0
 
         async def serve(stream):
-            nonlocal opened
-            opened += 1
+            nonlocal connections
+            connections += 1
             body = b'{"item": null}'
             head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n'
             async with stream:
@@ -133,11 +135,11 @@
                 await store.get('key')
             await store.close()
             group.cancel_scope.cancel()
-        self.assertEqual(2, opened)
+        self.assertEqual(2, connections)
 
 
-class KindsTest(base.TestCase):
-    def test_unknown_kind_names_the_allowed_ones(self):
+class StoreKindsTest(base.TestCase):
+    def test_unknown_kind_error_lists_the_allowed_ones(self):
         error = self.assertRaises(
             exceptions.UnknownKind, store_module.open_kind, 'etch', 'a:1', 1
         )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between the package's folders go one way."""
+"""Checks that imports between the package's folders follow the layers."""
 
 import ast
 import pathlib
@@ -6,8 +6,8 @@
 from tests import base
 
 PACKAGE = pathlib.Path(__file__).parent.parent / 'src' / 'persimmonsail'
-# The lowest first; a folder imports from itself and from those before it.
-# The package itself holds what all use, and the command line.
+# From lowest to highest; a folder imports from itself and from lower layers.
+# The package's top level contains the shared modules and the command line.
 LAYERS = (
     '',
     'catalogues',
@@ -21,28 +21,28 @@
     'jobs',
     'platform',
 )
-# Jobs and the older path share what all use and its decisions, no more.
-JOBS_MAY_USE = {'', 'decisions', 'jobs'}
-PLATFORM_MAY_USE = JOBS_MAY_USE | {'platform'}
-# The command line starts everything.
-ABOVE_ALL = {'__main__.py', 'cli.py'}
+# Jobs and the older path share only the top-level modules and decisions.
+JOBS_IMPORTS = {'', 'decisions', 'jobs'}
+PLATFORM_IMPORTS = JOBS_IMPORTS | {'platform'}
+# The command line starts all roles, so it may import from every layer.
+EXEMPT_MODULES = {'__main__.py', 'cli.py'}
 
 
-def name_folder(path):
+def get_folder(path):
     folder = path.relative_to(PACKAGE).parent.as_posix()
     return '' if folder == '.' else folder
 
 
 def list_imports(path):
     """Return the folders that a module imports from."""
-    found = set()
+    folders = set()
     for node in ast.walk(ast.parse(path.read_text(encoding='utf-8'))):
         if not isinstance(node, ast.ImportFrom) or not node.module:
             continue
-        first, _, folder = node.module.partition('.')
-        if first == 'persimmonsail':
-            found.add(folder)
-    return found
+        package, _, folder = node.module.partition('.')
+        if package == 'persimmonsail':
+            folders.add(folder)
+    return folders
 
 
 class LayersTest(base.TestCase):
@@ -51,32 +51,32 @@
         self.paths = [
             path
             for path in sorted(PACKAGE.rglob('*.py'))
-            if path.relative_to(PACKAGE).as_posix() not in ABOVE_ALL
+            if path.relative_to(PACKAGE).as_posix() not in EXEMPT_MODULES
         ]
 
-    def test_every_folder_has_its_place(self):
-        folders = {name_folder(path) for path in self.paths}
+    def test_every_folder_has_a_layer(self):
+        folders = {get_folder(path) for path in self.paths}
         self.assertEqual(set(LAYERS), folders)
 
-    def test_imports_go_down(self):
-        wrong = [
+    def test_imports_only_from_lower_layers(self):
+        violations = [
             f'{path.relative_to(PACKAGE)} imports from {folder}'
             for path in self.paths
             for folder in list_imports(path)
-            if LAYERS.index(folder) > LAYERS.index(name_folder(path))
+            if LAYERS.index(folder) > LAYERS.index(get_folder(path))
         ]
-        self.assertEqual([], wrong)
+        self.assertEqual([], violations)
 
-    def test_jobs_stand_beside_the_older_path(self):
-        """An entry on the platform grows by a catalogue that it lacks.
+    def test_jobs_do_not_import_the_older_path(self):
+        """An entry on the platform loads catalogue modules that it never uses.
 
-        A process pays for each module that it imports, in memory.
+        Each imported module adds to the memory of a process.
         """
-        allowed = {'jobs': JOBS_MAY_USE, 'platform': PLATFORM_MAY_USE}
-        wrong = [
+        allowed = {'jobs': JOBS_IMPORTS, 'platform': PLATFORM_IMPORTS}
+        violations = [
             f'{path.relative_to(PACKAGE)} imports from {folder}'
             for path in self.paths
             for folder in list_imports(path)
-            if folder not in allowed.get(name_folder(path), LAYERS)
+            if folder not in allowed.get(get_folder(path), LAYERS)
         ]
-        self.assertEqual([], wrong)
+        self.assertEqual([], violations)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 
 
 class StopTest(base.TestCase):
-    async def test_wait_ends_with_the_present_state_when_a_stop_begins(self):
+    async def test_wait_returns_the_current_state_when_a_stop_begins(self):
         stop = shutdown.Stop()
         waits = []
 
@@ -21,11 +21,11 @@
             stop.begun.set()
         self.assertEqual([3600, 0], waits)
 
-    async def test_problem_of_a_waiting_caller_stays_what_it_is(self):
+    async def test_problem_during_a_wait_is_raised_unwrapped(self):
         """A caller who waits for an unknown task gets status 500.
 
-        The wait's error came out wrapped in a group, which nothing
-        translates into a problem.
+        The error of the wait was raised wrapped in an exception group,
+        which is not translated into a problem response.
         """
 
         async def wait(seconds):
