--- a/src/persimmonsail/bookkeeping/__init__.py
+++ b/src/persimmonsail/bookkeeping/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of tasks: its records, and the state they add up to."""
+"""The task ledger: its records and the state derived from them."""
--- a/src/persimmonsail/bookkeeping/commits.py
+++ b/src/persimmonsail/bookkeeping/commits.py
@@ -1,4 +1,4 @@
-"""Group commits of one partition's records."""
+"""Group commit of one partition's records."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 from persimmonsail import logs
 
 MAX_BATCH_BYTES = 400_000
-_RECORD_BYTES = 400
+_RECORD_OVERHEAD_BYTES = 400
 
 
 @dataclasses.dataclass
@@ -23,30 +23,30 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes the record takes."""
-        texts = ('payload', 'answer', 'checkpoint')
-        return _RECORD_BYTES + sum(
-            len(getattr(self.record, name, '')) for name in texts
+        """Approximate encoded size of the record, in bytes."""
+        fields = ('payload', 'answer', 'checkpoint')
+        return _RECORD_OVERHEAD_BYTES + sum(
+            len(getattr(self.record, name, '')) for name in fields
         )
 
-    def end(self, error: Exception | None = None) -> None:
-        """Tell whoever waits; only the first end counts."""
+    def resolve(self, error: Exception | None = None) -> None:
+        """Wake the waiting caller; later calls have no effect."""
         if not self.done.is_set():
             self.error = error
             self.done.set()
 
 
 class Committer:
-    """Gathers proposed records, and appends them as one batch at a time.
+    """Collects proposed records and appends them in batches, one at a time.
 
-    ``commit`` may be called from any task; ``run`` belongs to one.
+    ``commit`` may be called from any task, ``run`` from a single one.
     """
 
     def __init__(
-        self, ledger: ledger_module.Ledger, turns: turns_module.Turns
+        self, ledger: ledger_module.Ledger, rate_limiter: turns_module.Turns
     ) -> None:
         self._ledger = ledger
-        self._turns = turns
+        self._rate_limiter = rate_limiter
         self._proposals: list[_Proposal] = []
         self._proposed = anyio.Event()
         self._writing = False
@@ -55,61 +55,61 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether the store leaves the batch under way unanswered."""
+        """Whether the store has not answered the current batch's write."""
         return self._ledger.unavailable
 
     async def commit(
         self, record: records.Record, seconds: float | None = None
     ) -> None:
-        """Return once a record is committed.
+        """Commit a record, and return once it is durable.
 
         Parameters
         ----------
         record : Record
-            What to write.
+            The record to write.
         seconds : float, optional
-            How long to wait; without it, until the outcome is certain.
+            The timeout; without it, waits until the outcome is certain.
 
         Raises
         ------
         persimmonsail.exceptions.NotCommitted
-            If the record did not fit the table, or was withdrawn before
-            it was written: it never takes effect.
+            If the record is invalid for the table, or was abandoned
+            before it was written: it never takes effect.
         persimmonsail.exceptions.CommitUnknown
-            If the time is over, or the partition lost, while the record
-            was being written.
+            If the timeout expired or the partition was lost while the
+            record was being written.
         """
         if self._closed:
-            raise exceptions.NotCommitted('the partition is handed over')
+            raise exceptions.NotCommitted('the partition is being handed over')
         proposal = _Proposal(record)
         self._proposals.append(proposal)
         self._proposed.set()
         with anyio.move_on_after(seconds):
             await proposal.done.wait()
         if not proposal.done.is_set():
-            self._withdraw(proposal)
+            self._abandon(proposal)
         if proposal.error is not None:
             raise proposal.error
 
     async def run(self) -> None:
-        """Commit what is proposed until cancelled."""
+        """Commit proposed records until cancelled."""
         try:
             while True:
                 await self._proposed.wait()
-                await self._turns.wait()
+                await self._rate_limiter.wait()
                 self._proposed = anyio.Event()
-                await self._commit_group(self._take_group())
+                await self._commit_group(self._pop_group())
         finally:
             self._closed = True
-            self._end_all()
+            self._reject_pending()
 
     async def close(self, seconds: float) -> bool:
-        """Take nothing new, and write what was proposed.
+        """Reject new records, and write those already proposed.
 
         Returns
         -------
         bool
-            Whether all of it was written in time.
+            Whether all of them were written in time.
         """
         self._closed = True
         with anyio.move_on_after(seconds):
@@ -118,19 +118,25 @@
             return True
         return False
 
-    def announce(self) -> None:
-        """Wake whoever waits for a change of the table."""
+    def notify_changed(self) -> None:
+        """Wake all tasks that wait for a change of the table."""
         self.changed.set()
         self.changed = anyio.Event()
 
-    def _withdraw(self, proposal: _Proposal) -> None:
+    def _abandon(self, proposal: _Proposal) -> None:
         if proposal in self._proposals:
             self._proposals.remove(proposal)
-            proposal.end(exceptions.NotCommitted('the store is slow'))
+            proposal.resolve(
+                exceptions.NotCommitted(
+                    'timed out before the record was written'
+                )
+            )
         else:
-            proposal.end(exceptions.CommitUnknown('no answer of the store'))
+            proposal.resolve(
+                exceptions.CommitUnknown('the store did not answer in time')
+            )
 
-    def _take_group(self) -> list[_Proposal]:
+    def _pop_group(self) -> list[_Proposal]:
         group: list[_Proposal] = []
         size = 0
         while self._proposals:
@@ -143,28 +149,28 @@
 
     async def _commit_group(self, group: list[_Proposal]) -> None:
         problems = self._ledger.table.find_problems([p.record for p in group])
-        fitting = [
+        valid = [
             proposal
             for proposal, problem in zip(group, problems, strict=True)
             if not problem
         ]
         self._writing = True
         try:
-            if fitting:
-                await self._ledger.append(tuple(p.record for p in fitting))
-            for proposal in fitting:
-                proposal.end()
-            # A misfit may contradict only what stands before it in its
-            # batch, as a key that was sent twice: it is refused once
-            # that is committed.
-            _refuse_misfits(group, problems)
+            if valid:
+                await self._ledger.append(tuple(p.record for p in valid))
+            for proposal in valid:
+                proposal.resolve()
+            # An invalid record may conflict only with an earlier one of
+            # its batch, such as a key that was sent twice: it is rejected
+            # after that one is committed.
+            _reject_invalid(group, problems)
         finally:
             self._writing = False
             for proposal in group:
-                proposal.end(
+                proposal.resolve(
                     exceptions.CommitUnknown('the partition was lost')
                 )
-            self.announce()
+            self.notify_changed()
         if self._ledger.needs_snapshot():
             await self._write_snapshot()
 
@@ -172,18 +178,18 @@
         try:
             await self._ledger.write_snapshot()
         except exceptions.StoreUnavailable as error:
-            # The next batch tries again; the ring has room until then.
+            # Retried after the next batch; the ring has free slots left.
             logs.write_event('snapshot-late', error=error)
 
-    def _end_all(self) -> None:
+    def _reject_pending(self) -> None:
         for proposal in self._proposals:
-            proposal.end(exceptions.NotCommitted('the partition was lost'))
+            proposal.resolve(exceptions.NotCommitted('the partition was lost'))
         self._proposals.clear()
-        self.announce()
+        self.notify_changed()
 
 
-def _refuse_misfits(group: list[_Proposal], problems: list[str]) -> None:
+def _reject_invalid(group: list[_Proposal], problems: list[str]) -> None:
     for proposal, problem in zip(group, problems, strict=True):
         if problem:
             logs.write_warning('record-refused', reason=problem)
-            proposal.end(exceptions.NotCommitted(problem))
+            proposal.resolve(exceptions.NotCommitted(problem))
--- a/src/persimmonsail/bookkeeping/ledger.py
+++ b/src/persimmonsail/bookkeeping/ledger.py
@@ -1,10 +1,10 @@
 """A partition's ledger: a ring of batches plus a snapshot in the store.
 
 A batch's position maps to one of a fixed number of slots. A slot is
-written by compare-and-swap on the revision that its previous round
-left. Two holders that race for a position therefore cannot both win,
-however long one of them was paused: a log whose old positions are
-deleted would let a paused holder create a deleted one again.
+written by compare-and-swap on the revision of its previous write, so
+two holders that race for a position cannot both succeed, however long
+one of them was paused. A log that deletes old positions would let a
+paused holder create a deleted one again.
 """
 
 import dataclasses
@@ -21,15 +21,15 @@
 from persimmonsail import store as store_module
 
 SLOTS = 512
-SNAPSHOT_EVERY = 128
+SNAPSHOT_INTERVAL = 128
 GENESIS = ''
-_RETRY_DELAY = 0.2
-_LOAD_TRIES = 10
+_RETRY_DELAY_SECONDS = 0.2
+_MAX_LOAD_ATTEMPTS = 10
 
 
 @dataclasses.dataclass(frozen=True)
 class Snapshot:
-    """The table after the batch at ``position``, whose hash is ``hash``."""
+    """The table as of the batch at ``position``, whose hash is ``hash``."""
 
     position: int
     hash: str
@@ -39,8 +39,8 @@
 class Ledger:
     """Reads one partition's ledger and appends batches to it.
 
-    Use it from one task at a time: ``load`` first, then ``append``.
-    ``unavailable`` is set while the store gives an append no answer.
+    Not safe for concurrent use; call ``load`` before ``append``.
+    ``unavailable`` is set while the store does not answer an append.
     """
 
     def __init__(self, store: store_module.Store, partition: int) -> None:
@@ -62,38 +62,38 @@
         Raises
         ------
         persimmonsail.exceptions.LedgerCorrupt
-            If the chain stays broken over several reads.
+            If the chain is broken in several consecutive reads.
         persimmonsail.exceptions.StoreUnavailable
-            If the store gives no answer.
+            If the store does not answer.
         """
-        for _ in range(_LOAD_TRIES):
+        for _ in range(_MAX_LOAD_ATTEMPTS):
             await self._load_snapshot()
             slots = await self._store.scan(f'{self._prefix}/slot/')
             try:
                 self._replay(slots)
                 return
             except exceptions.LedgerCorrupt as error:
-                # The ring may have gone round between the two reads; a
-                # fresh snapshot then fits. A real fault stays.
-                problem = error
-        raise problem
+                # The ring may have wrapped around between the two reads;
+                # a new snapshot then fits. Real corruption persists.
+                last_error = error
+        raise last_error
 
     async def append(self, items: tuple[records.Record, ...]) -> records.Batch:
         """Commit records as the next batch, and apply them.
 
-        The call returns only when the outcome is certain: an answer
-        lost after the write took effect is resolved by writing the same
-        batch again and, on a conflict, comparing the batch's id.
+        Returns only when the outcome is certain: a reply lost after the
+        write took effect is resolved by writing the same batch again
+        and, on a conflict, comparing the batch's id.
 
         Raises
         ------
         persimmonsail.exceptions.NotHolder
             If another holder wrote this position.
         persimmonsail.exceptions.LedgerCorrupt
-            If a record does not fit the table; nothing was written.
+            If a record is invalid for the table; nothing was written.
         """
-        self._check_records(items)
-        await self._make_room()
+        self._validate_records(items)
+        await self._free_next_slot()
         position = self.position + 1
         batch = records.Batch(
             position, uuid.uuid4().hex, self.table.epoch, self.hash, items
@@ -101,13 +101,13 @@
         text = records.dump_batch(batch)
         slot = position % SLOTS
         await self._write_slot(slot, text, batch)
-        self._advance(batch, text)
+        self._apply_batch(batch, text)
         metrics.LEDGER_COMMITS.increase()
         metrics.LEDGER_RECORDS.increase(by=len(items))
-        self._note_batch('ledger-commit', batch, text)
+        self._log_batch('ledger-commit', batch, text)
         return batch
 
-    def _note_batch(self, event: str, batch: records.Batch, text: str) -> None:
+    def _log_batch(self, event: str, batch: records.Batch, text: str) -> None:
         logs.write_event(
             event,
             partition=self.partition,
@@ -117,7 +117,7 @@
         )
 
     async def take_over(self, holder: str) -> int:
-        """Open a new epoch, behind all that others have written.
+        """Open a new epoch after everything that other holders wrote.
 
         Returns
         -------
@@ -132,29 +132,29 @@
             except exceptions.NotHolder:
                 await self.load()
 
-    def _check_records(self, items: tuple[records.Record, ...]) -> None:
-        # A record that replay refuses, once written, would keep every
+    def _validate_records(self, items: tuple[records.Record, ...]) -> None:
+        # Once written, a record that replay rejects would prevent every
         # later holder from loading the partition.
         problems = [text for text in self.table.find_problems(items) if text]
         if problems:
             raise exceptions.LedgerCorrupt('; '.join(problems))
 
-    async def _make_room(self) -> None:
-        # Without a snapshot the next slot still holds a batch that a
-        # later holder needs.
+    async def _free_next_slot(self) -> None:
+        # Until the snapshot covers it, the next slot contains a batch that
+        # a later holder needs.
         while self.position + 1 - self._snapshot_position > SLOTS:
             try:
                 await self.write_snapshot()
             except exceptions.StoreUnavailable:
                 self.unavailable = True
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
 
     def needs_snapshot(self) -> bool:
         """Whether a snapshot is due, well before the ring is full."""
-        return self.position - self._snapshot_position >= SNAPSHOT_EVERY
+        return self.position - self._snapshot_position >= SNAPSHOT_INTERVAL
 
     async def write_snapshot(self) -> None:
-        """Store the table so that older slots may be written again."""
+        """Store the table so that older slots may be overwritten."""
         snapshot = Snapshot(
             self.position,
             self.hash,
@@ -176,11 +176,11 @@
         self._snapshot_position = snapshot.position
 
     async def _adopt_own_snapshot(self) -> None:
-        # An earlier try's answer may have been lost after it took
-        # effect; it then stands in the way of this one.
+        # The reply to an earlier attempt may have been lost after the
+        # write took effect; this attempt then conflicts with it.
         found = await self._store.get(f'{self._prefix}/snapshot')
-        known = self._uncertain_snapshots
-        if found is None or records.hash_text(found.value) not in known:
+        own_hashes = self._uncertain_snapshots
+        if found is None or records.hash_text(found.value) not in own_hashes:
             raise exceptions.NotHolder('another holder wrote a snapshot')
         self._snapshot_revision = found.revision
 
@@ -201,21 +201,21 @@
 
     def _replay(self, page: store_module.Page) -> None:
         self._slot_revisions = {}
-        later = []
+        newer = []
         for item in page.items:
             batch = records.load_batch(item.value)
             slot = batch.position % SLOTS
             self._slot_revisions[slot] = item.revision
             if batch.position > self.position:
-                later.append((batch, item.value))
-        later.sort(key=lambda pair: pair[0].position)
-        for batch, text in later:
+                newer.append((batch, item.value))
+        newer.sort(key=lambda pair: pair[0].position)
+        for batch, text in newer:
             self._check_chain(batch)
-            self._advance(batch, text)
-        if later:
-            # A holder that died between a write and its log line left
-            # its last batch without evidence; whoever reads it tells.
-            self._note_batch('ledger-read', *later[-1])
+            self._apply_batch(batch, text)
+        if newer:
+            # A holder that died between a write and its log line has not
+            # logged its last batch, so the holder that reads it does.
+            self._log_batch('ledger-read', *newer[-1])
 
     def _check_chain(self, batch: records.Batch) -> None:
         if batch.position != self.position + 1:
@@ -227,7 +227,7 @@
                 f'partition {self.partition}: chain broken at {batch.position}'
             )
 
-    def _advance(self, batch: records.Batch, text: str) -> None:
+    def _apply_batch(self, batch: records.Batch, text: str) -> None:
         for record in batch.records:
             self.table.apply(record)
         self.position = batch.position
@@ -243,20 +243,20 @@
                 revision = await self._store.put(key, text, expected)
                 break
             except exceptions.Conflict:
-                revision = await self._find_own(key, batch)
+                revision = await self._resolve_conflict(key, batch)
                 break
             except exceptions.StoreUnavailable:
                 self.unavailable = True
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
         self.unavailable = False
         self._slot_revisions[slot] = revision
 
-    async def _find_own(self, key: str, batch: records.Batch) -> int:
+    async def _resolve_conflict(self, key: str, batch: records.Batch) -> int:
         while True:
             try:
                 found = await self._store.get(key)
             except exceptions.StoreUnavailable:
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
                 continue
             if found and records.load_batch(found.value).id == batch.id:
                 return found.revision
--- a/src/persimmonsail/bookkeeping/reasons.py
+++ b/src/persimmonsail/bookkeeping/reasons.py
@@ -1,9 +1,9 @@
-"""Reasons of a refusal that whoever is refused acts upon.
+"""Refusal reasons that the refused process acts upon.
 
-All other reasons are only for people; these are part of the protocol.
+These are part of the protocol; all other reasons are for people only.
 """
 
-# The sidecar obeys a later holder: the one refused has to let go.
+# The sidecar follows a later holder: the refused one must stop.
 LATER_EPOCH = 'a later epoch is known'
-# The instance is about to stop: another one may be asked at once.
+# The instance is shutting down: retry on another one immediately.
 LEAVING = 'leaving'
--- a/src/persimmonsail/bookkeeping/records.py
+++ b/src/persimmonsail/bookkeeping/records.py
@@ -7,12 +7,12 @@
 
 import pydantic
 
-# Why an attempt was given up whose instance was out of reach.
+# Reason for abandoning an attempt on an unreachable instance.
 LEASE_OVER = 'lease over'
 
 
 class TaskPhase(enum.StrEnum):
-    """Where a task stands between its acceptance and its end."""
+    """The phase of a task between its acceptance and its outcome."""
 
     PENDING = 'pending'
     CLAIMED = 'claimed'
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Opened:
-    """A holder took the partition over under a new epoch."""
+    """A holder took over the partition under a new epoch."""
 
     holder: str
     epoch: int
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """An entry's process, and where it answers."""
+    """An entry's process and its control address."""
 
     id: str
     control: str
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Members:
-    """The entries that the holder asks for consent in an outage."""
+    """The entries whose consent the holder needs in a store outage."""
 
     entries: tuple[Member, ...]
     kind: t.Literal['members'] = 'members'
@@ -71,10 +71,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Claimed:
-    """An attempt may run on one instance from now on.
+    """An attempt was assigned to an instance and may run there.
 
-    ``boot`` is the worker's process there. Once another one has taken
-    its place, the attempt's absence no longer shows that it never ran.
+    ``boot`` identifies the worker's process. Once it has been replaced,
+    the attempt's absence no longer proves that it never ran.
     """
 
     task: str
@@ -88,8 +88,8 @@
 class Released:
     """An attempt ended without an outcome; the task is pending again.
 
-    ``checkpoint`` is what the next attempt resumes from, if the work
-    was evicted; ``reason`` says why the attempt ended.
+    ``checkpoint`` is where the next attempt resumes if the task was
+    evicted; ``reason`` says why the attempt ended.
     """
 
     task: str
@@ -101,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CancelAsked:
-    """A caller asked for the task's end."""
+    """A caller requested the task's cancellation."""
 
     task: str
     kind: t.Literal['cancel-asked'] = 'cancel-asked'
@@ -109,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finished:
-    """The task's one final outcome; ``at`` is seconds since the epoch."""
+    """The task's single final outcome; ``at`` is a Unix timestamp."""
 
     task: str
     attempt: int
@@ -122,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Retired:
-    """Finished tasks that the table no longer keeps."""
+    """Finished tasks that were removed from the table."""
 
     tasks: tuple[str, ...]
     kind: t.Literal['retired'] = 'retired'
@@ -143,10 +143,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Batch:
-    """The records of one group commit, chained to the batch before.
+    """The records of one group commit, chained to the previous batch.
 
-    ``id`` tells a holder whether a batch found at its position is its
-    own after the answer to its write was lost.
+    After a lost reply, ``id`` lets a holder recognise its own batch at
+    the position that it wrote.
     """
 
     position: int
@@ -157,7 +157,7 @@
 
 
 def list_tasks(record: Record) -> tuple[str, ...]:
-    """Return the tasks that a record speaks of."""
+    """Return the tasks that a record refers to."""
     if isinstance(record, Retired):
         return record.tasks
     task = getattr(record, 'task', '')
@@ -178,5 +178,5 @@
 
 
 def hash_text(text: str) -> str:
-    """Return the hash that chains one stored text to the next."""
+    """Return the hash that links one stored batch to the next."""
     return hashlib.sha256(text.encode()).hexdigest()
--- a/src/persimmonsail/bookkeeping/refsets.py
+++ b/src/persimmonsail/bookkeeping/refsets.py
@@ -1,10 +1,10 @@
-"""Short forms of the tasks that a renewal names.
+"""Digests that stand for the tasks listed in a renewal.
 
-A holder extends the same tasks' leases every few seconds. It names them
-once; from then on it names the set by its digest, and a sidecar that
-knows another set under that partition asks for the names again. The
-digest is cryptographic: two sets that shared one would extend the lease
-of a task that the holder has given up, and it would run twice.
+A holder renews the leases of the same tasks every few seconds. It sends
+the full list once and then only its digest; a sidecar that has another
+set for that partition requests the list again. The digest is
+cryptographic: a collision would extend the lease of a task that the
+holder has abandoned, and it would run twice.
 """
 
 import hashlib
@@ -17,17 +17,17 @@
 
 
 class RefSetWriter:
-    """The sets that one partition's holder named to each instance."""
+    """The task sets that one partition's holder sent to each instance."""
 
     def __init__(self) -> None:
-        self._named: dict[str, bytes] = {}
+        self._sent_digests: dict[str, bytes] = {}
 
-    def name_tasks(
+    def add_tasks(
         self, request: control_pb2.RenewRequest, refs: _Refs
     ) -> None:
-        """Put tasks into a request, by digest if the sidecar has them."""
+        """Add tasks to a request, as a digest if the sidecar has the set."""
         digest = _digest(refs)
-        if not refs or self._named.get(request.incarnation) != digest:
+        if not refs or self._sent_digests.get(request.incarnation) != digest:
             request.tasks.extend(refs)
         else:
             request.tasks_digest = digest
@@ -37,33 +37,33 @@
         request: control_pb2.RenewRequest,
         reply: control_pb2.RenewReply,
     ) -> None:
-        """Remember what the sidecar has, as its reply shows."""
+        """Record which set the sidecar has, according to its reply."""
         if reply.resend:
-            self._named.pop(request.incarnation, None)
+            self._sent_digests.pop(request.incarnation, None)
         elif reply.accepted and request.tasks:
-            self._named[request.incarnation] = _digest(request.tasks)
+            self._sent_digests[request.incarnation] = _digest(request.tasks)
 
 
 class RefSetReader:
-    """The sets that holders named to this sidecar, one a partition."""
+    """The task sets that this sidecar received, one per partition."""
 
     def __init__(self) -> None:
-        self._known: dict[int, tuple[bytes, list[control_pb2.TaskRef]]] = {}
+        self._ref_sets: dict[int, tuple[bytes, list[control_pb2.TaskRef]]] = {}
 
     def restore(self, request: control_pb2.RenewRequest) -> bool:
-        """Put the named tasks into a request.
+        """Expand a request's digest into its tasks.
 
         Returns
         -------
         bool
-            Whether they are known; if not, they have to be sent.
+            Whether the set is known; if not, it has to be sent again.
         """
         if not request.tasks_digest:
             refs = list(request.tasks)
             if refs:
-                self._known[request.partition] = _digest(refs), refs
+                self._ref_sets[request.partition] = _digest(refs), refs
             return True
-        digest, refs = self._known.get(request.partition, (b'', []))
+        digest, refs = self._ref_sets.get(request.partition, (b'', []))
         if digest != request.tasks_digest:
             return False
         request.tasks.extend(refs)
@@ -71,7 +71,7 @@
 
 
 def drop_active(reply: control_pb2.RenewReply) -> None:
-    """Leave out the states that tell a holder nothing new."""
+    """Remove the states of active tasks, which the holder already knows."""
     changed = [
         state for state in reply.states if state.phase != control_pb2.ACTIVE
     ]
--- a/src/persimmonsail/bookkeeping/tasks.py
+++ b/src/persimmonsail/bookkeeping/tasks.py
@@ -1,4 +1,4 @@
-"""A partition's tasks, as its ledger's records add up to them."""
+"""A partition's tasks, as derived from its ledger's records."""
 
 import base64
 import dataclasses
@@ -18,8 +18,8 @@
 class Task:
     """One accepted task and its latest attempt.
 
-    ``checkpoint`` is what a next attempt resumes from; ``boot`` is the
-    worker's process that the latest attempt was claimed for.
+    ``checkpoint`` is where the next attempt resumes; ``boot`` identifies
+    the worker process that the latest attempt was claimed for.
     """
 
     id: str
@@ -41,7 +41,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the task has its one final outcome."""
+        """Whether the task has its final outcome."""
         return self.phase in records.FINAL_PHASES
 
 
@@ -55,23 +55,23 @@
     tasks: dict[str, Task] = dataclasses.field(default_factory=dict)
 
     def apply(self, record: records.Record) -> None:
-        """Change the table as one record says.
+        """Apply one record to the table.
 
         Raises
         ------
         persimmonsail.exceptions.LedgerCorrupt
-            If the record does not fit the task's phase.
+            If the record is invalid in the task's phase.
         """
         _apply(record, self)
 
     def find_problems(self, items: t.Sequence[records.Record]) -> list[str]:
-        """Apply records to a copy, and say what is wrong with each.
+        """Apply records to a copy, and return the problem with each.
 
         Returns
         -------
         list of str
-            For each record why it does not fit; empty if it does. A
-            record that does not fit is left out for those after it.
+            Why each record is invalid; empty if it is valid. Invalid
+            records are skipped when later ones are checked.
         """
         names = {name for item in items for name in records.list_tasks(item)}
         copy = dataclasses.replace(
@@ -85,9 +85,11 @@
         return [_find_problem(copy, item) for item in items]
 
     def find(self, task: str) -> Task:
-        """Return a task that a record speaks of."""
+        """Return a task that a record refers to."""
         if task not in self.tasks:
-            raise exceptions.LedgerCorrupt(f'no task {task}')
+            raise exceptions.LedgerCorrupt(
+                f'record refers to unknown task {task}'
+            )
         return self.tasks[task]
 
 
@@ -95,7 +97,7 @@
 
 
 def dump_table(table: Table) -> str:
-    """Return a table as compressed text, for a value of the store."""
+    """Return a table as compressed text, to be stored as a value."""
     return base64.b64encode(zlib.compress(TABLE.dump_json(table))).decode()
 
 
@@ -120,7 +122,9 @@
 @_apply.register
 def _(record: records.Opened, table: Table) -> None:
     if record.epoch <= table.epoch:
-        raise exceptions.LedgerCorrupt(f'epoch {record.epoch} is not new')
+        raise exceptions.LedgerCorrupt(
+            f'epoch {record.epoch} is not later than the current one'
+        )
     table.epoch = record.epoch
     table.holder = record.holder
 
@@ -149,7 +153,9 @@
     if task.phase is not records.TaskPhase.PENDING:
         raise exceptions.LedgerCorrupt(f'{task.id} claimed in {task.phase}')
     if record.attempt != task.attempt + 1:
-        raise exceptions.LedgerCorrupt(f'{task.id} skips an attempt')
+        raise exceptions.LedgerCorrupt(
+            f'{task.id} claimed with a non-consecutive attempt'
+        )
     task.phase = records.TaskPhase.CLAIMED
     task.attempt = record.attempt
     task.instance = record.instance
@@ -178,7 +184,9 @@
 def _(record: records.Finished, table: Table) -> None:
     task = table.find(record.task)
     if task.is_final or record.attempt != task.attempt:
-        raise exceptions.LedgerCorrupt(f'{task.id} finished out of turn')
+        raise exceptions.LedgerCorrupt(
+            f'{task.id} finished twice or for another attempt'
+        )
     task.phase = record.phase
     task.answer = record.answer
     task.reason = record.reason
--- a/src/persimmonsail/bookkeeping/turns.py
+++ b/src/persimmonsail/bookkeeping/turns.py
@@ -1,8 +1,9 @@
-"""Turns at the store, shared by all partitions of one process.
+"""A commit rate limit, shared by all partitions of one process.
 
-Each partition that commits on its own takes its ten writes a second; 32
-of them would take the store's whole rate. With turns a process commits
-at one rate however many partitions it holds, and batches grow instead.
+Each partition that commits independently makes ten writes a second; 32
+of them would use up the store's write rate. With a shared limit, a
+process commits at one rate however many partitions it holds, and
+batches grow instead.
 """
 
 import time
@@ -11,21 +12,21 @@
 
 
 class Turns:
-    """Hands out turns, first come first served.
+    """Spaces out commits, in the order in which they are requested.
 
     Parameters
     ----------
     interval : float
-        Seconds between two turns.
+        Seconds between two commits.
     """
 
     def __init__(self, interval: float) -> None:
         self._interval = interval
-        self._next_at = float('-inf')
+        self._next_start = float('-inf')
 
     async def wait(self) -> None:
-        """Return when it is the caller's turn."""
+        """Wait until the caller may commit."""
         now = time.monotonic()
-        turn_at = max(now, self._next_at)
-        self._next_at = turn_at + self._interval
-        await anyio.sleep(turn_at - now)
+        start_at = max(now, self._next_start)
+        self._next_start = start_at + self._interval
+        await anyio.sleep(start_at - now)
--- a/src/persimmonsail/partitioning/__init__.py
+++ b/src/persimmonsail/partitioning/__init__.py
@@ -1,1 +1,1 @@
-"""Partitions of the ledger, and the entries that hold them."""
+"""Ledger partitions and the entries that hold them."""
--- a/src/persimmonsail/partitioning/cancels.py
+++ b/src/persimmonsail/partitioning/cancels.py
@@ -1,4 +1,4 @@
-"""Ending the tasks whose callers asked for it."""
+"""Cancellation of tasks at their callers' request."""
 
 import anyio
 import anyio.abc
@@ -11,66 +11,66 @@
 from persimmonsail.partitioning import endings as endings_module
 from persimmonsail.partitioning import holding as holding_module
 
-_TIMEOUT = 1.5
-_PERIOD = 0.1
-_CONCURRENT = 64
+_STOP_TIMEOUT_SECONDS = 1.5
+_SCAN_PERIOD_SECONDS = 0.1
+_MAX_CONCURRENT_STOPS = 64
 
 
 class Canceller:
-    """Stops cancelled tasks, and commits the ends of a wave together."""
+    """Stops cancelled tasks; a burst of them shares a few commits."""
 
     def __init__(
         self,
-        holding: holding_module.Holding,
+        context: holding_module.HolderContext,
         endings: endings_module.Endings,
     ) -> None:
-        self._holding = holding
+        self._context = context
         self._endings = endings
-        self._limiter = anyio.Semaphore(_CONCURRENT)
+        self._limiter = anyio.Semaphore(_MAX_CONCURRENT_STOPS)
 
     async def run(self) -> None:
-        """End cancelled tasks until cancelled."""
+        """Process cancellation requests until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                if self._holding.authority.lease_is_valid:
-                    self._end_asked(group)
-                await anyio.sleep(_PERIOD)
+                if self._context.authority.lease_is_valid:
+                    self._start_cancels(group)
+                await anyio.sleep(_SCAN_PERIOD_SECONDS)
 
-    def _end_asked(self, group: anyio.abc.TaskGroup) -> None:
-        for task in list(self._holding.table.tasks.values()):
+    def _start_cancels(self, group: anyio.abc.TaskGroup) -> None:
+        for task in list(self._context.table.tasks.values()):
             if not task.cancel_asked or task.is_final:
                 continue
-            if task.id not in self._holding.owned:
-                group.start_soon(self._end, task)
+            if task.id not in self._context.task_locks:
+                group.start_soon(self._cancel, task)
 
-    async def _end(self, task: tasks.Task) -> None:
-        if task.id in self._holding.owned or task.is_final:
+    async def _cancel(self, task: tasks.Task) -> None:
+        if task.id in self._context.task_locks or task.is_final:
             return
-        with self._holding.owned.own(task.id):
+        with self._context.task_locks.acquire(task.id):
             if task.phase is records.TaskPhase.PENDING:
-                await self._finish(task)
+                await self._commit_cancelled(task)
             else:
                 async with self._limiter:
                     await self._stop(task)
 
     async def _stop(self, task: tasks.Task) -> None:
-        instance = self._holding.fleet.find(task.instance)
+        instance = self._context.fleet.find(task.instance)
         if instance is None:
             return
         request = control_pb2.StopTaskRequest(
             task=task.id,
             attempt=task.attempt,
-            partition=self._holding.partition,
-            epoch=self._holding.epoch,
-            lease_seconds=self._holding.lease_seconds,
+            partition=self._context.partition,
+            epoch=self._context.epoch,
+            lease_seconds=self._context.lease_seconds,
         )
         try:
-            reply = await self._holding.links.call(
+            reply = await self._context.links.call(
                 instance.address,
                 control_grpc.SidecarStub,
                 'StopTask',
                 request,
-                _TIMEOUT,
+                _STOP_TIMEOUT_SECONDS,
             )
         except exceptions.LinkLost:
             return
@@ -79,9 +79,9 @@
         if reply.state.phase == control_pb2.SUCCEEDED:
             await self._endings.note_state(task, reply.state, reply.boot)
         else:
-            await self._finish(task)
+            await self._commit_cancelled(task)
 
-    async def _finish(self, task: tasks.Task) -> None:
+    async def _commit_cancelled(self, task: tasks.Task) -> None:
         await self._endings.finish(
             task, records.TaskPhase.CANCELLED, 'cancelled'
         )
--- a/src/persimmonsail/partitioning/consents.py
+++ b/src/persimmonsail/partitioning/consents.py
@@ -1,8 +1,8 @@
-"""Which process may still extend a partition's task leases.
+"""Authority to extend a partition's task leases.
 
-Normally that is whoever has a valid lease in the store. While the store
-is down for longer than that lease, a holder asks every entry that could
-take its partition to promise that it won't for some seconds.
+Normally it comes with a valid lease in the store. When a store outage
+outlasts that lease, a holder asks every entry that could acquire its
+partition to promise not to do so for some seconds.
 """
 
 import dataclasses
@@ -19,12 +19,12 @@
 from persimmonsail import links as links_module
 from persimmonsail import logs
 
-_CALL_TIMEOUT = 1.0
+_CALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclasses.dataclass
 class StoreLease:
-    """One lease in the store, as this process's clock bounds it."""
+    """A lease in the store; ``until`` is a bound on this process's clock."""
 
     id: str
     until: float = float('-inf')
@@ -32,43 +32,45 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether the store still keeps the lease's keys for sure."""
+        """Whether the store is certain to retain the lease's keys now."""
         return not self.ended and time.monotonic() < self.until
 
 
 class Promises:
-    """What this entry has promised to holders of other partitions.
+    """Promises that this entry has made to other partitions' holders.
 
-    ``is_held`` tells whether this entry holds a partition or is about
-    to take it.
+    ``is_held`` returns whether this entry holds a partition or is about
+    to acquire it.
     """
 
     def __init__(
         self, process_id: str, is_held: t.Callable[[int], bool]
     ) -> None:
         self.id = process_id
-        self.contact_at = float('-inf')
+        self.last_contact_at = float('-inf')
         self._is_held = is_held
-        self._until: dict[int, float] = {}
+        self._promised_until: dict[int, float] = {}
         self._fences: dict[int, int] = {}
 
     def note_contact(self, asked_at: float) -> None:
-        """Note that the store answered a call made at this time."""
-        self.contact_at = max(self.contact_at, asked_at)
+        """Record that the store answered a call made at this time."""
+        self.last_contact_at = max(self.last_contact_at, asked_at)
 
     def is_promised(self, partition: int) -> bool:
-        """Whether this entry may not take a partition now."""
-        return time.monotonic() < self._until.get(partition, float('-inf'))
+        """Whether a promise bars this entry from a partition now."""
+        return time.monotonic() < self._promised_until.get(
+            partition, float('-inf')
+        )
 
     def consent(
         self, request: control_pb2.ConsentRequest
     ) -> control_pb2.ConsentReply:
-        """Promise not to take a partition for a while, or refuse."""
+        """Promise not to acquire a partition for some time, or refuse."""
         reason = self._find_refusal(request)
         if not reason:
             until = time.monotonic() + request.promise_seconds
-            before = self._until.get(request.partition, until)
-            self._until[request.partition] = max(before, until)
+            previous = self._promised_until.get(request.partition, until)
+            self._promised_until[request.partition] = max(previous, until)
         logs.write_event(
             'consent-answered',
             partition=request.partition,
@@ -82,8 +84,8 @@
 
     def fence(self, request: control_pb2.FenceRequest) -> None:
         """Refuse consent to earlier epochs of a partition from now on."""
-        before = self._fences.get(request.partition, 0)
-        self._fences[request.partition] = max(before, request.epoch)
+        previous = self._fences.get(request.partition, 0)
+        self._fences[request.partition] = max(previous, request.epoch)
         logs.write_event(
             'fenced', partition=request.partition, epoch=request.epoch
         )
@@ -95,23 +97,23 @@
             return reasons.LATER_EPOCH
         if self._is_held(request.partition):
             return 'the partition is held here'
-        # Whoever can reach the store can take the partition there; the
-        # holder that is cut off has to let go.
-        if time.monotonic() - self.contact_at <= request.lost_seconds:
+        # An entry that can reach the store can acquire the partition; the
+        # holder without store contact has to release it.
+        if time.monotonic() - self.last_contact_at <= request.lost_seconds:
             return 'the store was reached'
         return ''
 
 
 class Authority:
-    """Whether a holder may extend leases, by its lease or by consent.
+    """A holder's authority to extend leases, by its lease or by consent.
 
     Parameters
     ----------
     promise_seconds : float
-        How long a consent lasts.
+        How long a consent is valid.
     outage_limit : float
-        Seconds after the end of its lease in which a holder may ask
-        for consent at all.
+        How many seconds after the end of its lease a holder may still
+        ask for consent.
     """
 
     def __init__(
@@ -132,11 +134,11 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether leases may be extended at this moment.
+        """Whether leases may be extended now.
 
-        Check it with the ticket in hand, right before sending: the
-        ticket is then older than the end of the authority, and so is
-        every lease granted on it, plus one lease's length.
+        Check it after obtaining the ticket, right before sending: the
+        ticket then predates the end of the authority, and every lease
+        granted on it ends within one lease's length of that end.
         """
         if self._released or self._lease.ended:
             return False
@@ -145,11 +147,11 @@
 
     @property
     def lease_is_valid(self) -> bool:
-        """Whether the store's lease alone still bears the holder."""
+        """Whether the store's lease is valid, without any consent."""
         return not self._released and self._lease.is_valid
 
     def release(self) -> None:
-        """Give the right up for good."""
+        """Give up the authority permanently."""
         self._released = True
 
     async def run(
@@ -158,7 +160,7 @@
         epoch: int,
         list_members: t.Callable[[], dict[str, str]],
     ) -> None:
-        """Ask for consent whenever the store's lease is over."""
+        """Ask for consent whenever the store's lease has expired."""
         period = self._promise_seconds / 4
         while True:
             await anyio.sleep(period)
@@ -168,12 +170,12 @@
     async def ask(
         self, partition: int, epoch: int, members: dict[str, str]
     ) -> bool:
-        """Ask all members, by identifier and address, once.
+        """Ask each member, given by identifier and address, once.
 
         Returns
         -------
         bool
-            Whether all of them granted it.
+            Whether all of them consented.
         """
         asked_at = time.monotonic()
         lost = asked_at - self._lease.until
@@ -214,7 +216,7 @@
                 control_grpc.HoldersStub,
                 'Consent',
                 request,
-                _CALL_TIMEOUT,
+                _CALL_TIMEOUT_SECONDS,
             )
         except exceptions.LinkLost:
             granted.append(False)
@@ -223,12 +225,12 @@
 
 
 class Fence:
-    """When leases of a partition's earlier holders are over for sure.
+    """When the authority of a partition's earlier holders has ended.
 
-    An earlier holder that the store has lost may go on by consent of
-    the members it had listed. Either this process is one of them, and
-    has kept its promises, or one of them has to refuse from now on; if
-    none answers, only the limit of every outage is left.
+    An earlier holder whose store lease has expired may continue with
+    the consent of the members it had listed. Either this process is one
+    of them, and has kept its promises, or one of them has to refuse
+    consent from now on. If none answers, the bound is the outage limit.
     """
 
     def __init__(
@@ -242,7 +244,7 @@
         self._id = process_id
         self._promise_seconds = promise_seconds
         self._outage_limit = outage_limit
-        self.consents_over_at = float('inf')
+        self.consents_expired_at = float('inf')
 
     async def run(
         self,
@@ -250,20 +252,20 @@
         epoch: int,
         members: t.Sequence[records.Member],
     ) -> None:
-        """Find out, asking members until one answers."""
+        """Determine that time, asking members until one answers."""
         now = time.monotonic()
         if not members or any(found.id == self._id for found in members):
-            self.consents_over_at = now
+            self.consents_expired_at = now
             return
         limit = self._outage_limit + self._promise_seconds
-        self.consents_over_at = now + limit
+        self.consents_expired_at = now + limit
         request = control_pb2.FenceRequest(partition=partition, epoch=epoch)
         while True:
             if await self._fence_any(request, members):
                 break
-            await anyio.sleep(_CALL_TIMEOUT)
+            await anyio.sleep(_CALL_TIMEOUT_SECONDS)
         fenced_at = time.monotonic() + self._promise_seconds
-        self.consents_over_at = min(self.consents_over_at, fenced_at)
+        self.consents_expired_at = min(self.consents_expired_at, fenced_at)
 
     async def _fence_any(
         self,
@@ -272,14 +274,14 @@
     ) -> bool:
         for member in members:
             try:
-                # An answer of another process at this address will do:
-                # the one that was listed has ended and can't consent.
+                # A reply from another process at this address suffices:
+                # the listed one has ended and cannot consent.
                 await self._links.call(
                     member.control,
                     control_grpc.HoldersStub,
                     'Fence',
                     request,
-                    _CALL_TIMEOUT,
+                    _CALL_TIMEOUT_SECONDS,
                 )
                 return True
             except exceptions.LinkLost:
--- a/src/persimmonsail/partitioning/dispatch.py
+++ b/src/persimmonsail/partitioning/dispatch.py
@@ -1,4 +1,4 @@
-"""Placing pending tasks on instances, and starting them there."""
+"""Placement of pending tasks on instances, and their start."""
 
 import random
 import time
@@ -22,8 +22,8 @@
 from persimmonsail.partitioning import holding as holding_module
 from persimmonsail.partitioning import renewals
 
-_START_TIMEOUT = 2.0
-_PERIOD = 0.1
+_START_TIMEOUT_SECONDS = 2.0
+_ROUND_PERIOD_SECONDS = 0.1
 
 
 class Dispatcher:
@@ -31,55 +31,58 @@
 
     def __init__(
         self,
-        holding: holding_module.Holding,
+        context: holding_module.HolderContext,
         endings: endings_module.Endings,
         renewer: renewals.Renewer,
     ) -> None:
-        self._holding = holding
+        self._context = context
         self._endings = endings
         self._renewer = renewer
         self._placer = placement.Placer(
-            holding.fleet.estimator,
+            context.fleet.estimator,
             objectives.Objectives(
                 lambda name: objectives.find_objective(
-                    holding.view.catalogue, name
+                    context.view.catalogue, name
                 )
             ),
             time.monotonic,
         )
         self._planner = planner_module.Planner(
-            holding.fleet, holding.knowledge, self._placer.choose_task
+            context.fleet, context.knowledge, self._placer.choose_task
         )
-        self._backoff = backoff.Backoff(random.Random(holding.partition))
+        self._backoff = backoff.Backoff(random.Random(context.partition))
         self._starting: set[str] = set()
-        self._told: dict[str, str] = {}
-        self._idle_at: int | None = None
+        self._logged_reasons: dict[str, str] = {}
+        self._idle_position: int | None = None
 
     async def run(self) -> None:
         """Place tasks until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                if self._holding.authority.lease_is_valid and self._has_work():
+                if (
+                    self._context.authority.lease_is_valid
+                    and self._may_have_pending()
+                ):
                     self._place_pending(group)
-                await anyio.sleep(_PERIOD)
+                await anyio.sleep(_ROUND_PERIOD_SECONDS)
 
-    def _has_work(self) -> bool:
-        """Whether a task may wait for a place.
+    def _may_have_pending(self) -> bool:
+        """Whether any task may be pending.
 
-        A task becomes pending by a record alone: with none written since
-        a round that met no pending task, there is still none.
+        Tasks become pending only through records: if none was written
+        since a round without pending tasks, there is still none.
         """
-        return self._idle_at != self._holding.ledger.position
+        return self._idle_position != self._context.ledger.position
 
     def _place_pending(self, group: anyio.abc.TaskGroup) -> None:
-        holding = self._holding
-        if not holding.view.is_fresh:
+        context = self._context
+        if not context.view.is_fresh:
             return
-        catalogue = holding.view.catalogue
+        catalogue = context.view.catalogue
         pending = self._collect_pending(catalogue)
-        holding.intake.note_pending(pending)
+        context.intake.note_pending(pending)
         now = time.monotonic()
-        self._backoff.forget_unless(self._is_open)
+        self._backoff.forget_unless(self._is_unfinished)
         for task in pending:
             self._delay_restarted(task, now)
         ready = [
@@ -96,43 +99,43 @@
                 group.start_soon(self._start, step, workload)
         self._log_waiting()
 
-    def _is_open(self, task: str) -> bool:
-        found = self._holding.table.tasks.get(task)
+    def _is_unfinished(self, task: str) -> bool:
+        found = self._context.table.tasks.get(task)
         return found is not None and not found.is_final
 
     def _collect_pending(
         self, catalogue: catalogue_module.Catalogue
     ) -> list[tasks.Task]:
-        """Return the tasks that wait, and charge those that run."""
+        """Return the pending tasks, and account for the running ones."""
         pending = []
-        met_pending = False
+        has_pending = False
         charged = set(self._starting)
-        for task in self._holding.table.tasks.values():
+        for task in self._context.table.tasks.values():
             if task.phase is records.TaskPhase.CLAIMED:
                 charged.add(task.id)
                 self._planner.note_task(task, catalogue)
             elif task.phase is records.TaskPhase.PENDING:
-                met_pending = True
-                free = task.id not in self._holding.owned
-                if free and not task.cancel_asked:
+                has_pending = True
+                available = task.id not in self._context.task_locks
+                if available and not task.cancel_asked:
                     pending.append(task)
         self._planner.accounts.keep_only(charged)
-        position = self._holding.ledger.position
-        self._idle_at = None if met_pending else position
+        position = self._context.ledger.position
+        self._idle_position = None if has_pending else position
         return pending
 
     def _log_waiting(self) -> None:
         waiting = self._planner.waiting
         for task, reason in waiting.items():
-            if self._told.get(task) != reason:
+            if self._logged_reasons.get(task) != reason:
                 logs.write_event('waiting', task=task, reason=reason)
-        self._told = waiting
+        self._logged_reasons = waiting
 
     async def _refuse(self, step: planner_module.Refusal) -> None:
         try:
-            if step.task.id in self._holding.owned:
+            if step.task.id in self._context.task_locks:
                 return
-            with self._holding.owned.own(step.task.id):
+            with self._context.task_locks.acquire(step.task.id):
                 await self._endings.finish(
                     step.task, records.TaskPhase.FAILED, step.reason
                 )
@@ -146,9 +149,9 @@
     ) -> None:
         task = step.task
         try:
-            if task.id in self._holding.owned:
+            if task.id in self._context.task_locks:
                 return
-            with self._holding.owned.own(task.id):
+            with self._context.task_locks.acquire(task.id):
                 contact = await self._renewer.find_contact(step.instance)
                 if contact is None:
                     return
@@ -166,24 +169,24 @@
         task, chosen = step.task, step.instance
         attempt = task.attempt + 1
         try:
-            await self._holding.committer.commit(
+            await self._context.committer.commit(
                 records.Claimed(task.id, attempt, chosen.name, contact.boot)
             )
         except exceptions.NotCommitted:
             return False
-        self._holding.intake.note_placed(task.team, time.monotonic())
+        self._context.intake.note_placed(task.team, time.monotonic())
         logs.write_event(
             'placement',
             task=task.id,
             workload=task.workload,
             attempt=attempt,
-            epoch=self._holding.epoch,
+            epoch=self._context.epoch,
             chosen=chosen.name,
             incarnation=contact.incarnation,
             workload_class=workload.workload_class,
             idempotent=workload.idempotent,
             checkpoint=logs.digest(task.checkpoint.encode()),
-            revision=self._holding.view.revision,
+            revision=self._context.view.revision,
             **_describe_terms(step),
         )
         return True
@@ -195,26 +198,26 @@
         boot: str,
     ) -> None:
         task, chosen = step.task, step.instance
-        # The commit may have taken seconds; the ticket is then old.
+        # The ticket is stale if the commit took seconds.
         contact = await self._renewer.find_contact(chosen)
-        allowed = self._holding.authority.is_valid and not task.cancel_asked
+        allowed = self._context.authority.is_valid and not task.cancel_asked
         if contact is None or not allowed:
-            # Nothing was sent, but only this holder knows that: the
-            # next renewal bars the attempt before it is released.
+            # Nothing was sent, but only this holder knows that. The next
+            # renewal bars the attempt before it is released.
             return
         attempt = task.attempt
         request = control_pb2.StartTaskRequest(
             task=task.id,
             attempt=attempt,
-            partition=self._holding.partition,
-            epoch=self._holding.epoch,
+            partition=self._context.partition,
+            epoch=self._context.epoch,
             incarnation=contact.incarnation,
-            revision=self._holding.view.revision,
+            revision=self._context.view.revision,
             workload=task.workload,
             team=task.team,
             workload_class=workload.workload_class,
             size=step.estimate.size.to_message(),
-            lease_seconds=self._holding.lease_seconds,
+            lease_seconds=self._context.lease_seconds,
             payload=task.payload.encode(),
             checkpoint=task.checkpoint,
             ticket=contact.ticket,
@@ -222,43 +225,44 @@
             canary=step.canary,
             suspect=step.suspect,
         )
-        self._holding.knowledge.note_start(task.id, time.monotonic())
+        self._context.knowledge.note_start(task.id, time.monotonic())
         try:
-            reply = await self._holding.links.call(
+            reply = await self._context.links.call(
                 chosen.address,
                 control_grpc.SidecarStub,
                 'StartTask',
                 request,
-                _START_TIMEOUT,
+                _START_TIMEOUT_SECONDS,
             )
         except exceptions.LinkLost:
             return
-        self._holding.fleet.note_load(chosen.name, reply.load)
+        self._context.fleet.note_load(chosen.name, reply.load)
         if reply.verdict != control_pb2.UNKNOWN:
-            self._holding.contacts.note(chosen.name, reply.incarnation, reply)
+            self._context.contacts.note(chosen.name, reply.incarnation, reply)
         if reply.verdict == control_pb2.NOT_RUN:
             self._delay(task, reply)
             await self._endings.release(task, reply.reason)
 
     def _delay_restarted(self, task: tasks.Task, now: float) -> None:
-        """Have a task wait whose worker was restarted under it.
+        """Back off the restart of a task whose worker was restarted.
 
-        It may be what ends its workers. Started at once each time, it takes
-        all that runs beside it along ten times a second; nothing tells yet
-        that it is this one, so it is started ever later instead of failed.
+        The task may be what crashes its workers. Restarted immediately, it
+        would take the colocated tasks down with it ten times a second. There
+        is no evidence yet that it is the cause, so it is delayed ever longer
+        rather than failed.
         """
-        if task.reason != endings_module.RESTARTED:
+        if task.reason != endings_module.WORKER_RESTARTED:
             return
         if not self._backoff.has_wait(task.id, task.attempt):
-            self._wait(task, task.reason, 0.0, now)
+            self._back_off(task, task.reason, 0.0, now)
 
     def _delay(
         self, task: tasks.Task, reply: control_pb2.StartTaskReply
     ) -> None:
         retry_after = reply.retry_after_seconds
-        self._wait(task, reply.reason, retry_after, time.monotonic())
+        self._back_off(task, reply.reason, retry_after, time.monotonic())
 
-    def _wait(
+    def _back_off(
         self, task: tasks.Task, reason: str, retry_after: float, now: float
     ) -> None:
         wait = self._backoff.note_refusal(
--- a/src/persimmonsail/partitioning/endings.py
+++ b/src/persimmonsail/partitioning/endings.py
@@ -1,4 +1,4 @@
-"""What a holder records when an attempt at a task has ended."""
+"""The records that a holder commits when an attempt has ended."""
 
 import time
 
@@ -10,32 +10,32 @@
 from persimmonsail import logs
 from persimmonsail.partitioning import holding as holding_module
 
-RESTARTED = 'the worker was restarted'
+WORKER_RESTARTED = 'the worker was restarted'
 
 
 class Endings:
-    """Commits the end of attempts, and how tasks go on after it.
+    """Commits the end of attempts and the next phase of their tasks.
 
     A task that may have run and must not run twice ends as unknown,
     unless the attempt left a checkpoint to resume from.
     """
 
-    def __init__(self, holding: holding_module.Holding) -> None:
-        self._holding = holding
+    def __init__(self, context: holding_module.HolderContext) -> None:
+        self._context = context
 
     async def note_state(
         self, task: tasks.Task, state: control_pb2.TaskState, boot: str
     ) -> None:
-        """Record how a worker says that the latest attempt ended.
+        """Commit the end of the latest attempt as a worker reports it.
 
         Parameters
         ----------
         task : Task
-            A claimed task, owned by the caller.
+            A claimed task, locked by the caller.
         state : TaskState
-            The attempt as the worker has it.
+            The attempt's state at the worker.
         boot : str
-            The worker's process that said so.
+            The worker process that reported it.
         """
         if state.phase in (control_pb2.SUCCEEDED, control_pb2.FAILED):
             failed = state.phase == control_pb2.FAILED
@@ -51,10 +51,10 @@
         elif state.phase == control_pb2.ABSENT:
             await self._note_absence(task, boot)
         elif state.phase == control_pb2.STOPPED:
-            await self.give_up(task, 'stopped')
+            await self.abandon(task, 'stopped')
 
-    async def give_up(self, task: tasks.Task, reason: str) -> None:
-        """Go on without the latest attempt, which may have run."""
+    async def abandon(self, task: tasks.Task, reason: str) -> None:
+        """Abandon the latest attempt, which may have run."""
         if task.cancel_asked:
             await self.finish(task, records.TaskPhase.CANCELLED, 'cancelled')
         elif self.is_restartable(task):
@@ -63,8 +63,8 @@
             await self.finish(task, records.TaskPhase.UNKNOWN, reason)
 
     def is_restartable(self, task: tasks.Task) -> bool:
-        """Whether a task may start again from its last checkpoint."""
-        workload = self._holding.view.catalogue.workloads.get(task.workload)
+        """Whether a task may restart from its last checkpoint."""
+        workload = self._context.view.catalogue.workloads.get(task.workload)
         return workload is not None and (
             workload.idempotent
             or workload.workload_class is catalogue.WorkloadClass.WATCHER
@@ -93,8 +93,8 @@
         reason: str,
         answer: str = '',
     ) -> None:
-        """Give a task its one final outcome."""
-        self._holding.knowledge.forget(task.id)
+        """Commit a task's final outcome."""
+        self._context.knowledge.forget(task.id)
         await self._commit(
             records.Finished(
                 task.id, task.attempt, phase, answer, reason, time.time()
@@ -109,7 +109,7 @@
         )
 
     def _note_end(self, task: tasks.Task, failed: bool) -> None:
-        knowledge = self._holding.knowledge
+        knowledge = self._context.knowledge
         verdict = knowledge.note_end(
             task, task.instance, failed, time.monotonic()
         )
@@ -129,14 +129,14 @@
             )
 
     async def _note_failure(self, task: tasks.Task, answer: str) -> None:
-        workload = self._holding.view.catalogue.workloads.get(task.workload)
-        again = (
+        workload = self._context.view.catalogue.workloads.get(task.workload)
+        retry = (
             workload is not None
             and workload.idempotent
             and task.failures + 1 < workload.max_attempts
-            and not self._holding.knowledge.tracker.is_to_blame(task.workload)
+            and not self._context.knowledge.tracker.is_to_blame(task.workload)
         )
-        if again:
+        if retry:
             await self.release(task, tasks.FAILED)
         else:
             await self.finish(task, records.TaskPhase.FAILED, 'failed', answer)
@@ -145,19 +145,19 @@
         if checkpoint and not task.cancel_asked:
             await self.release(task, 'evicted', checkpoint)
         else:
-            await self.give_up(task, 'evicted without a checkpoint')
+            await self.abandon(task, 'evicted without a checkpoint')
 
     async def _note_absence(self, task: tasks.Task, boot: str) -> None:
         # A worker knows every attempt that it has started and whose end
-        # was not acknowledged. Another process in its place knows none:
-        # its silence does not show that the attempt never ran.
+        # was not acknowledged. A process that replaced it knows none, so
+        # there an attempt's absence does not prove that it never ran.
         if task.boot and task.boot == boot:
             await self.release(task, 'not run')
         else:
-            await self.give_up(task, RESTARTED)
+            await self.abandon(task, WORKER_RESTARTED)
 
     async def _commit(self, record: records.Record) -> None:
         try:
-            await self._holding.committer.commit(record)
+            await self._context.committer.commit(record)
         except exceptions.NotCommitted as error:
             logs.write_warning('record-late', reason=error)
--- a/src/persimmonsail/partitioning/forwarding.py
+++ b/src/persimmonsail/partitioning/forwarding.py
@@ -1,4 +1,4 @@
-"""The way of callers' tasks to the holders of their partitions."""
+"""Forwarding of task calls to the holders of their partitions."""
 
 import re
 import time
@@ -14,22 +14,22 @@
 from persimmonsail.partitioning import holder as holder_module
 from persimmonsail import problems
 
-_BUDGET = 6.0
-_TRY_SECONDS = 4.0
-_QUERY_WAIT = 2.0
-_COMMIT_SECONDS = 3.5
-_RETRY_PERIOD = 0.1
-_RETRY_AFTER = 2.0
-_PARTITION = re.compile('[0-9]{3}')
-_Here = t.Callable[[t.Any], t.Awaitable[control_pb2.TaskReply]]
+_TIME_BUDGET_SECONDS = 6.0
+_CALL_TIMEOUT_SECONDS = 4.0
+_MAX_QUERY_WAIT_SECONDS = 2.0
+_MAX_COMMIT_SECONDS = 3.5
+_RETRY_PERIOD_SECONDS = 0.1
+_RETRY_AFTER_SECONDS = 2.0
+_PARTITION_PREFIX = re.compile('[0-9]{3}')
+_LocalCall = t.Callable[[t.Any], t.Awaitable[control_pb2.TaskReply]]
 
 
 class TaskForwarder:
-    """Brings callers' tasks to the holders of their partitions.
+    """Forwards task calls to the holders of their partitions.
 
-    While a partition moves, a call is repeated at its next holder, for
-    some seconds. That is safe: the task's name comes from the caller's
-    key, and the ledger accepts a name once.
+    While a partition changes holders, calls are retried at the next one
+    for some seconds. That is safe because the task's name is derived
+    from the caller's key, and the ledger accepts each name once.
     """
 
     def __init__(self, entry: t.Any) -> None:
@@ -38,91 +38,94 @@
     async def submit(
         self, task: str, workload: str, payload: bytes, timeout: float
     ) -> control_pb2.TaskReply:
-        """Accept a task wherever its partition is held."""
+        """Submit a task to the holder of its partition."""
         request = control_pb2.SubmitRequest(
             task=task,
-            partition=_read_partition(task),
+            partition=_parse_partition(task),
             workload=workload,
             payload=payload or b'{}',
             revision=self._entry.view.revision,
-            timeout_seconds=min(timeout, _COMMIT_SECONDS),
+            timeout_seconds=min(timeout, _MAX_COMMIT_SECONDS),
         )
-        seconds = min(timeout, _BUDGET)
+        seconds = min(timeout, _TIME_BUDGET_SECONDS)
         return await self._forward(
             'Submit', request, self.submit_here, seconds
         )
 
     async def query(self, task: str, wait: float) -> control_pb2.TaskReply:
-        """Return a task's state, after waiting for its end."""
+        """Return a task's state, waiting up to ``wait`` for its end."""
         request = control_pb2.TaskQuery(
-            task=task, partition=_read_partition(task), wait_seconds=wait
+            task=task, partition=_parse_partition(task), wait_seconds=wait
         )
         deadline = time.monotonic() + wait
         while True:
-            # Short waits, so that a holder that froze is found out.
-            left = max(deadline - time.monotonic(), 0)
-            request.wait_seconds = min(left, _QUERY_WAIT)
+            # Short waits, so that a frozen holder is detected.
+            remaining = max(deadline - time.monotonic(), 0)
+            request.wait_seconds = min(remaining, _MAX_QUERY_WAIT_SECONDS)
             reply = await self._forward(
-                'Query', request, self.query_here, left + _BUDGET
+                'Query',
+                request,
+                self.query_here,
+                remaining + _TIME_BUDGET_SECONDS,
             )
-            if not left or reply.phase in records.FINAL_PHASES:
+            if not remaining or reply.phase in records.FINAL_PHASES:
                 return reply
 
     async def cancel(self, task: str) -> control_pb2.TaskReply:
-        """Ask for a task's end."""
+        """Request a task's cancellation."""
         request = control_pb2.TaskQuery(
-            task=task, partition=_read_partition(task)
+            task=task, partition=_parse_partition(task)
         )
         return await self._forward(
-            'Cancel', request, self.cancel_here, _BUDGET
+            'Cancel', request, self.cancel_here, _TIME_BUDGET_SECONDS
         )
 
     async def submit_here(
         self, request: control_pb2.SubmitRequest
     ) -> control_pb2.TaskReply:
-        """Accept a task of a partition held by this process."""
-        holder = self._find_own(request.partition)
+        """Accept a task of a partition that this process holds."""
+        holder = self._find_local_holder(request.partition)
         if holder is None:
-            return _not_held()
+            return _make_not_held_reply()
         if reason := self._find_refusal(request, holder):
             return control_pb2.TaskReply(
                 reason=reason,
                 verdict=control_pb2.NOT_RUN,
-                retry_after_seconds=_RETRY_AFTER,
+                retry_after_seconds=_RETRY_AFTER_SECONDS,
             )
         if request.workload not in self._entry.view.catalogue.workloads:
             return control_pb2.TaskReply(
                 reason='the holder knows no such workload',
                 verdict=control_pb2.NOT_RUN,
-                retry_after_seconds=_RETRY_AFTER,
+                retry_after_seconds=_RETRY_AFTER_SECONDS,
             )
-        return await _answer(holder, holder.submit(request))
+        return await _await_reply(holder, holder.submit(request))
 
     async def query_here(
         self, request: control_pb2.TaskQuery
     ) -> control_pb2.TaskReply:
-        """Return the state of a task of a partition held here."""
-        holder = self._find_own(request.partition)
+        """Return the state of a task that this process holds."""
+        holder = self._find_local_holder(request.partition)
         if holder is None:
-            return _not_held()
+            return _make_not_held_reply()
         waiting = holder.wait_final(request.task, request.wait_seconds)
-        return await _answer(holder, waiting)
+        return await _await_reply(holder, waiting)
 
     async def cancel_here(
         self, request: control_pb2.TaskQuery
     ) -> control_pb2.TaskReply:
-        """End a task of a partition held here."""
-        holder = self._find_own(request.partition)
+        """Cancel a task that this process holds."""
+        holder = self._find_local_holder(request.partition)
         if holder is None:
-            return _not_held()
-        return await _answer(holder, holder.cancel(request.task))
+            return _make_not_held_reply()
+        return await _await_reply(holder, holder.cancel(request.task))
 
     def _find_refusal(
         self,
         request: control_pb2.SubmitRequest,
         holder: holder_module.Holder,
     ) -> str:
-        # 'Not run' would be false for a task accepted earlier.
+        # 'Not run' would be wrong for a task that was accepted earlier.
         if request.task in holder.table.tasks:
             return ''
         view = self._entry.view
@@ -130,68 +133,80 @@
             return 'the holder does not know the revision yet'
         return view.find_staleness()
 
-    def _find_own(self, partition: int) -> holder_module.Holder | None:
+    def _find_local_holder(
+        self, partition: int
+    ) -> holder_module.Holder | None:
         holder = self._entry.partitions.held.get(partition)
         return holder if holder is not None and holder.ready else None
 
     async def _forward(
-        self, method: str, request: t.Any, here: _Here, seconds: float
+        self,
+        method: str,
+        request: t.Any,
+        call_local: _LocalCall,
+        seconds: float,
     ) -> control_pb2.TaskReply:
         if request.partition >= self._entry.settings.entry.partitions:
-            # No entry will ever hold it: coming back does not help.
+            # No entry will ever hold it, so a retry would not help.
             raise problems.Problem(
                 404, 'No such task', problems.NOT_RUN, request.task
             )
         deadline = time.monotonic() + seconds
-        reply = _not_held()
+        reply = _make_not_held_reply()
         uncertain = False
-        while (left := deadline - time.monotonic()) > 0:
-            reply = await self._try_once(method, request, here, left)
+        while (remaining := deadline - time.monotonic()) > 0:
+            reply = await self._call_holder(
+                method, request, call_local, remaining
+            )
             if not reply.moved:
                 break
             uncertain = uncertain or reply.verdict == control_pb2.UNKNOWN
-            if self._is_hopeless(request.partition):
+            if self._is_without_holder(request.partition):
                 break
-            await anyio.sleep(_RETRY_PERIOD)
+            await anyio.sleep(_RETRY_PERIOD_SECONDS)
         if uncertain and reply.verdict == control_pb2.NOT_RUN:
-            # Only this try is known not to have taken effect.
+            # Only the last attempt is known not to have taken effect.
             reply.verdict = control_pb2.UNKNOWN
         return _check_reply(reply)
 
-    def _is_hopeless(self, partition: int) -> bool:
-        """Whether no holder can come up, as the store is out of reach."""
+    def _is_without_holder(self, partition: int) -> bool:
+        """Whether there is no holder and none can start without the store."""
         partitions = self._entry.partitions
         return (
             partitions.find_holder(partition) is None
             and not partitions.lease_is_valid
         )
 
-    async def _try_once(
-        self, method: str, request: t.Any, here: _Here, left: float
+    async def _call_holder(
+        self,
+        method: str,
+        request: t.Any,
+        call_local: _LocalCall,
+        remaining: float,
     ) -> control_pb2.TaskReply:
-        if self._find_own(request.partition) is not None:
-            return await here(request)
+        if self._find_local_holder(request.partition) is not None:
+            return await call_local(request)
         found = self._entry.partitions.find_holder(request.partition)
         if found is None or found.id == self._entry.partitions.promises.id:
-            return _not_held()
+            return _make_not_held_reply()
         try:
             return await self._entry.links.call(
                 found.control,
                 control_grpc.EntryStub,
                 method,
                 request,
-                min(left, _TRY_SECONDS),
+                min(remaining, _CALL_TIMEOUT_SECONDS),
             )
         except exceptions.LinkLost as error:
             return control_pb2.TaskReply(
                 reason=str(error),
                 verdict=control_pb2.UNKNOWN,
                 moved=True,
-                retry_after_seconds=_RETRY_AFTER,
+                retry_after_seconds=_RETRY_AFTER_SECONDS,
             )
 
 
-async def _answer(
+async def _await_reply(
     holder: holder_module.Holder, call: t.Awaitable[tasks.Task | None]
 ) -> control_pb2.TaskReply:
     try:
@@ -211,23 +226,23 @@
         reason=reason,
         verdict=verdict,
         moved=not holder.ready,
-        retry_after_seconds=_RETRY_AFTER,
+        retry_after_seconds=_RETRY_AFTER_SECONDS,
     )
 
 
-def _read_partition(task: str) -> int:
+def _parse_partition(task: str) -> int:
     prefix, _, rest = task.partition('-')
-    if not _PARTITION.fullmatch(prefix) or not rest:
+    if not _PARTITION_PREFIX.fullmatch(prefix) or not rest:
         raise problems.Problem(404, 'No such task', problems.NOT_RUN, task)
     return int(prefix)
 
 
-def _not_held() -> control_pb2.TaskReply:
+def _make_not_held_reply() -> control_pb2.TaskReply:
     return control_pb2.TaskReply(
         reason='no entry holds the partition now',
         moved=True,
         verdict=control_pb2.NOT_RUN,
-        retry_after_seconds=_RETRY_AFTER,
+        retry_after_seconds=_RETRY_AFTER_SECONDS,
     )
 
 
@@ -262,7 +277,11 @@
         )
     if reply.verdict == control_pb2.NOT_RUN:
         raise problems.Problem(
-            503, 'Not accepted', problems.NOT_RUN, reply.reason, _RETRY_AFTER
+            503,
+            'Not accepted',
+            problems.NOT_RUN,
+            reply.reason,
+            _RETRY_AFTER_SECONDS,
         )
     if reply.verdict == control_pb2.UNKNOWN:
         raise problems.Problem(
@@ -270,6 +289,6 @@
             'Outcome unknown',
             problems.UNKNOWN,
             reply.reason,
-            _RETRY_AFTER,
+            _RETRY_AFTER_SECONDS,
         )
     raise problems.Problem(404, 'No such task', problems.NOT_RUN, reply.reason)
--- a/src/persimmonsail/partitioning/holder.py
+++ b/src/persimmonsail/partitioning/holder.py
@@ -1,4 +1,4 @@
-"""The holder of one partition: accepts, places and follows its tasks."""
+"""The holder of one partition: accepts, places and tracks its tasks."""
 
 import collections
 import contextlib
@@ -31,10 +31,10 @@
 from persimmonsail import settings as settings_module
 
 MAX_PAYLOAD_BYTES = 65_536
-_ANSWER_SECONDS = 3.5
-_MEMBERS_PERIOD = 0.5
-_RETIRE_AT_ONCE = 500
-_RETIRE_PERIODS = 100
+_MAX_COMMIT_SECONDS = 3.5
+_MEMBERS_PERIOD_SECONDS = 0.5
+_MAX_RETIRED_TASKS = 500
+_PASSES_PER_RETENTION = 100
 
 ListMembers = t.Callable[[], tuple[records.Member, ...]]
 
@@ -53,32 +53,34 @@
         process_id: str,
         list_members: ListMembers,
         knowledge: planner.Knowledge | None = None,
-        turns: turns_module.Turns | None = None,
+        rate_limiter: turns_module.Turns | None = None,
     ) -> None:
         limits = settings.entry
         consent_limits = (limits.task_lease, limits.outage_limit)
         self.ledger = ledger
         self.ready = False
         self.closing = anyio.Event()
-        self._settled = False
-        self._unsettled: collections.Counter[str] = collections.Counter()
+        self._earlier_leases_expired = False
+        self._uncertain_submits: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._view = view
         self._settings = settings
         self._process_id = process_id
         self._list_members = list_members
         self._proposed_members: set[records.Member] = set()
-        known = knowledge or planner.Knowledge()
+        learned = knowledge or planner.Knowledge()
         self._intake = intake.Intake(
-            fleet, known, random.Random(ledger.partition)
+            fleet, learned, random.Random(ledger.partition)
         )
         self._committer = commits.Committer(
-            ledger, turns or turns_module.Turns(limits.commit_interval)
+            ledger, rate_limiter or turns_module.Turns(limits.commit_interval)
         )
         self._authority = consents.Authority(
             lease, links, process_id, *consent_limits
         )
         self._fence = consents.Fence(links, process_id, *consent_limits)
-        shared = holding.Holding(
+        shared = holding.HolderContext(
             ledger,
             self._committer,
             fleet,
@@ -87,15 +89,17 @@
             contacts.Contacts(limits.task_lease),
             self._authority,
             self._fence,
-            holding.Owned(self._committer),
+            holding.TaskLocks(self._committer),
             limits.task_lease,
-            known,
+            learned,
             self._intake,
         )
-        ends = endings.Endings(shared)
-        self._renewer = renewals.Renewer(shared, ends)
-        self._dispatcher = dispatch.Dispatcher(shared, ends, self._renewer)
-        self._canceller = cancels.Canceller(shared, ends)
+        task_endings = endings.Endings(shared)
+        self._renewer = renewals.Renewer(shared, task_endings)
+        self._dispatcher = dispatch.Dispatcher(
+            shared, task_endings, self._renewer
+        )
+        self._canceller = cancels.Canceller(shared, task_endings)
 
     @property
     def table(self) -> tasks.Table:
@@ -103,12 +107,12 @@
         return self.ledger.table
 
     async def run(self) -> None:
-        """Take the partition over and serve it until cancelled.
+        """Take over the partition and serve it until cancelled.
 
         Raises
         ------
         persimmonsail.exceptions.NotHolder
-            If another holder has taken the partition.
+            If another holder has taken over the partition.
         """
         await self.ledger.load()
         epoch = await self.ledger.take_over(self._settings.process.name)
@@ -130,18 +134,18 @@
         finally:
             self.ready = False
             self._authority.release()
-            self._committer.announce()
+            self._committer.notify_changed()
 
     async def submit(self, request: control_pb2.SubmitRequest) -> tasks.Task:
-        """Accept a task, or find the one already accepted.
+        """Accept a task, or return it if it was accepted earlier.
 
         Raises
         ------
         persimmonsail.exceptions.NotCommitted
-            If the task was not accepted; ``NotAccepted`` if it was
-            refused for its team's limits or because it can never run.
+            If the task was not accepted; ``NotAccepted`` if it exceeds
+            its team's limits or can never run.
         persimmonsail.exceptions.CommitUnknown
-            If it may have been accepted; the same key finds it then.
+            If it may have been accepted; a retry with its key finds it.
         """
         found = self.table.tasks.get(request.task)
         if found is not None:
@@ -151,9 +155,9 @@
         except exceptions.NotCommitted as error:
             if request.task in self.table.tasks:
                 return self.table.tasks[request.task]
-            if self._unsettled[request.task] > 0:
-                # This try came to nothing, but an earlier one with the
-                # same key may yet be committed: it is not 'not run'.
+            if self._uncertain_submits[request.task] > 0:
+                # This attempt had no effect, but an earlier one with the
+                # same key may yet be committed, so 'not run' is wrong.
                 raise exceptions.CommitUnknown(str(error)) from error
             raise
         return self.table.tasks[request.task]
@@ -168,38 +172,40 @@
             request.payload.decode(),
             request.revision,
         )
-        seconds = min(request.timeout_seconds, _ANSWER_SECONDS)
-        self._unsettled[request.task] += 1
+        seconds = min(request.timeout_seconds, _MAX_COMMIT_SECONDS)
+        self._uncertain_submits[request.task] += 1
         try:
             with self._intake.admit(request.task, workload.owner):
                 await self._committer.commit(record, seconds)
         except exceptions.NotCommitted:
-            self._unsettled[request.task] -= 1
+            self._uncertain_submits[request.task] -= 1
             raise
-        del self._unsettled[request.task]
+        del self._uncertain_submits[request.task]
 
     async def wait_final(self, task: str, seconds: float) -> tasks.Task | None:
-        """Return a task, waiting for its final outcome for a while.
+        """Return a task, waiting up to ``seconds`` for its final outcome.
 
         Raises
         ------
         persimmonsail.exceptions.NotHolder
-            If the partition was handed over meanwhile.
+            If the partition is handed over in the meantime.
         """
         found = self.table.tasks.get(task)
         with anyio.move_on_after(seconds):
             while found is not None and not found.is_final:
                 if not self.ready:
-                    raise exceptions.NotHolder('the partition is handed over')
+                    raise exceptions.NotHolder(
+                        'the partition is being handed over'
+                    )
                 await self._committer.changed.wait()
         return found
 
     async def cancel(self, task: str) -> tasks.Task | None:
-        """Ask for a task's end; raises as ``submit``."""
+        """Request a task's cancellation; raises like ``submit``."""
         found = self.table.tasks.get(task)
         if found and not found.is_final and not found.cancel_asked:
             record = records.CancelAsked(task)
-            await self._committer.commit(record, _ANSWER_SECONDS)
+            await self._committer.commit(record, _MAX_COMMIT_SECONDS)
         return found
 
     def _check_submit(self, request: control_pb2.SubmitRequest) -> None:
@@ -217,16 +223,16 @@
         )
 
     async def _close(self) -> None:
-        """Give the partition up, and write what was proposed.
+        """Give up the partition, and write the proposed records.
 
-        No lease is extended from here on. An empty list of members
-        tells the next holder that nobody goes on by consent.
+        No lease is extended from then on. An empty list of members
+        informs the next holder that nobody continues by consent.
         """
         self._authority.release()
         self.ready = False
-        self._committer.announce()
+        self._committer.notify_changed()
         seconds = self._settings.entry.drain / 2
-        if self._settled:
+        if self._earlier_leases_expired:
             with contextlib.suppress(exceptions.PersimmonsailError):
                 await self._committer.commit(records.Members(()), seconds)
         written = await self._committer.close(seconds)
@@ -244,16 +250,16 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._renewer.run)
             group.start_soon(
-                self._authority.run, partition, epoch, self._list_consenters
+                self._authority.run, partition, epoch, self._list_consenting
             )
             await self._fence.run(partition, epoch, previous)
             await self._run_members()
 
-    def _list_consenters(self) -> dict[str, str]:
-        """Return every entry that could take the partition.
+    def _list_consenting(self) -> dict[str, str]:
+        """Return every entry that could acquire the partition.
 
-        Those of a list that may have been committed are among them: a
-        later holder relies on the list that it reads in the ledger.
+        This includes the entries of a list that may have been committed,
+        as a later holder relies on the list that it reads in the ledger.
         """
         members = {
             *self.table.members,
@@ -263,15 +269,15 @@
         return {member.id: member.control for member in members}
 
     async def _run_members(self) -> None:
-        # Until the leases of earlier holders are over, the ledger keeps
-        # the list that those ask: a follower has to find it there.
-        settled_at = (
-            self._fence.consents_over_at
+        # Until the leases of earlier holders have expired, the ledger has
+        # to retain the members that those ask: a successor needs them.
+        leases_expired_at = (
+            self._fence.consents_expired_at
             + self._settings.entry.task_lease
-            + contacts.LEASE_MARGIN
+            + contacts.LEASE_MARGIN_SECONDS
         )
-        await anyio.sleep(max(settled_at - time.monotonic(), 0))
-        self._settled = True
+        await anyio.sleep(max(leases_expired_at - time.monotonic(), 0))
+        self._earlier_leases_expired = True
         while True:
             entries = self._list_members()
             if set(entries) != set(self.table.members):
@@ -284,18 +290,18 @@
                     epoch=self.table.epoch,
                     entries=len(entries),
                 )
-            await anyio.sleep(_MEMBERS_PERIOD)
+            await anyio.sleep(_MEMBERS_PERIOD_SECONDS)
 
     async def _run_retirement(self) -> None:
         retention = self._settings.entry.retention
         while True:
-            oldest = time.time() - retention
-            over = tuple(
+            cutoff = time.time() - retention
+            expired = tuple(
                 task.id
                 for task in self.table.tasks.values()
-                if task.is_final and task.finished_at < oldest
+                if task.is_final and task.finished_at < cutoff
             )
-            if over:
-                record = records.Retired(over[:_RETIRE_AT_ONCE])
+            if expired:
+                record = records.Retired(expired[:_MAX_RETIRED_TASKS])
                 await self._committer.commit(record)
-            await anyio.sleep(retention / _RETIRE_PERIODS)
+            await anyio.sleep(retention / _PASSES_PER_RETENTION)
--- a/src/persimmonsail/partitioning/holding.py
+++ b/src/persimmonsail/partitioning/holding.py
@@ -1,4 +1,4 @@
-"""What the parts of one partition's holder share."""
+"""State shared by the components of one partition's holder."""
 
 import contextlib
 import dataclasses
@@ -16,8 +16,8 @@
 from persimmonsail.partitioning import contacts as contacts_module
 
 
-class Owned:
-    """Tasks that some coroutine of the holder is changing."""
+class TaskLocks:
+    """Exclusive access of the holder's coroutines to single tasks."""
 
     def __init__(self, committer: commits_module.Committer) -> None:
         self._committer = committer
@@ -27,19 +27,19 @@
         return task in self._names
 
     @contextlib.contextmanager
-    def own(self, task: str) -> t.Iterator[None]:
-        """Be the only one to change a task while the context is open."""
+    def acquire(self, task: str) -> t.Iterator[None]:
+        """Lock a task that isn't locked while the context is open."""
         self._names.add(task)
         try:
             yield
         finally:
             self._names.discard(task)
-            self._committer.announce()
+            self._committer.notify_changed()
 
 
 @dataclasses.dataclass(frozen=True)
-class Holding:
-    """One partition under one epoch, and the ways to its instances.
+class HolderContext:
+    """One partition in one epoch, with the links to its instances.
 
     ``lease_seconds`` is the length of a task's lease.
     """
@@ -52,7 +52,7 @@
     contacts: contacts_module.Contacts
     authority: consents.Authority
     fence: consents.Fence
-    owned: Owned
+    task_locks: TaskLocks
     lease_seconds: float
     knowledge: planner_module.Knowledge
     intake: intake_module.Intake
@@ -69,5 +69,5 @@
 
     @property
     def epoch(self) -> int:
-        """The holder's epoch, which every command carries."""
+        """The holder's epoch, which is part of every command."""
         return self.ledger.table.epoch
--- a/src/persimmonsail/partitioning/partitions.py
+++ b/src/persimmonsail/partitioning/partitions.py
@@ -1,8 +1,8 @@
-"""Which entry holds which partition of the task ledger.
+"""Assignment of the task ledger's partitions to entries.
 
-Each entry keeps one lease in the store. Under it stand the entry's own
-key and one key for each partition it holds. A partition belongs to the
-live entry that rendezvous hashing prefers.
+Each entry has one lease in the store. The entry's own key and one key
+for each partition that it holds are attached to the lease. A partition
+belongs to the live entry that rendezvous hashing prefers.
 """
 
 import dataclasses
@@ -29,16 +29,16 @@
 COUNT_KEY = 'ledger/partitions'
 _ENTRY_PREFIX = 'live/entries/'
 _HOLDER_PREFIX = 'live/holders/'
-_PERIOD = 0.5
+_RETRY_PERIOD_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class LiveEntry:
     """An entry's key in the store.
 
-    ``id`` names the process: one that was restarted under the same name
-    must not take its predecessor's keys for its own. ``lease`` is what
-    the key stands under.
+    ``id`` identifies the process: one that restarts under the same name
+    must not mistake its predecessor's keys for its own. ``lease`` is the
+    lease that the key is attached to.
     """
 
     name: str
@@ -60,11 +60,13 @@
 
 
 def prefer_entry(partition: int, names: t.Iterable[str]) -> str:
-    """Return the entry that should hold a partition, by rendezvous."""
-    return max(names, key=lambda name: _weigh(partition, name), default='')
+    """Return the entry that rendezvous hashing prefers for a partition."""
+    return max(
+        names, key=lambda name: _compute_weight(partition, name), default=''
+    )
 
 
-def _weigh(partition: int, name: str) -> bytes:
+def _compute_weight(partition: int, name: str) -> bytes:
     return hashlib.sha256(f'{partition}/{name}'.encode()).digest()
 
 
@@ -78,7 +80,7 @@
 
 
 class Partitions:
-    """An entry's lease, its partitions, and where the others are."""
+    """An entry's lease and partitions, and the other partitions' holders."""
 
     def __init__(
         self,
@@ -99,25 +101,27 @@
             settings.process.zone,
             uuid.uuid4().hex,
         )
-        self.promises = consents.Promises(self._own.id, self._is_taken)
+        self.promises = consents.Promises(
+            self._own.id, self._is_held_or_acquired
+        )
         self._make_holder = make_holder
         self._holders: dict[int, LiveEntry] = {}
         self._revisions: dict[int, int] = {}
         self._lease = consents.StoreLease('', ended=True)
-        self._taking: set[int] = set()
+        self._acquiring: set[int] = set()
         self._scopes: dict[int, anyio.CancelScope] = {}
 
     @property
     def lease_is_valid(self) -> bool:
-        """Whether the store still keeps this entry's keys for sure."""
+        """Whether the store is certain to retain this entry's keys now."""
         return self._lease.is_valid
 
     def find_holder(self, partition: int) -> LiveEntry | None:
-        """Return the entry that holds a partition, as last read."""
+        """Return the entry that was last read to hold a partition."""
         return self._holders.get(partition)
 
     def list_members(self) -> tuple[records.Member, ...]:
-        """Return the live entries, as last read, and this one."""
+        """Return the live entries as last read, including this one."""
         found = {
             entry.id: records.Member(entry.id, entry.control)
             for entry in [*self.entries.values(), self._own]
@@ -125,20 +129,20 @@
         return tuple(found[key] for key in sorted(found))
 
     async def run(self) -> None:
-        """Keep the lease and hold partitions until cancelled.
+        """Renew the lease and hold partitions until cancelled.
 
         Raises
         ------
         persimmonsail.exceptions.SettingsMismatch
-            If the store's ledger has another number of partitions.
+            If the ledger in the store has another partition count.
         """
         await self._check_count()
         async with anyio.create_task_group() as group:
-            group.start_soon(self._run_lease)
-            await self._run_membership(group)
+            group.start_soon(self._run_lease_loop)
+            await self._run_membership_loop(group)
 
     async def leave(self) -> None:
-        """Hand all partitions over and end the lease."""
+        """Hand over all partitions and revoke the lease."""
         self.leaving = True
         for holder in self.held.values():
             holder.closing.set()
@@ -152,7 +156,7 @@
     def fence(
         self, request: control_pb2.FenceRequest
     ) -> control_pb2.FenceReply:
-        """Refuse consent to earlier epochs; give a lost partition up."""
+        """Refuse consent to earlier epochs, and close an outdated holder."""
         self.promises.fence(request)
         holder = self.held.get(request.partition)
         if holder is not None and holder.table.epoch < request.epoch:
@@ -160,8 +164,8 @@
         return control_pb2.FenceReply(id=self._own.id)
 
     async def _check_count(self) -> None:
-        # Entries that disagree would look for one team's tasks in two
-        # ledgers, and could run the work of one key twice.
+        # Entries with different counts would look up a team's tasks in
+        # two ledgers, and could run the work of one key twice.
         own = str(self._settings.entry.partitions)
         while True:
             try:
@@ -170,7 +174,7 @@
             except exceptions.Conflict:
                 found = await self._read_count()
             except exceptions.StoreUnavailable:
-                await anyio.sleep(_PERIOD)
+                await anyio.sleep(_RETRY_PERIOD_SECONDS)
                 continue
             if found == own:
                 return
@@ -197,7 +201,7 @@
         except exceptions.StoreError as error:
             logs.write_event('lease-not-revoked', error=error)
 
-    async def _run_lease(self) -> None:
+    async def _run_lease_loop(self) -> None:
         seconds = self._settings.entry.partition_lease
         while not self.leaving:
             asked_at = time.monotonic()
@@ -209,7 +213,7 @@
                 self._lease.until = asked_at + seconds
                 self.promises.note_contact(asked_at)
             except exceptions.StoreUnavailable:
-                await anyio.sleep(_PERIOD)
+                await anyio.sleep(_RETRY_PERIOD_SECONDS)
                 continue
             except exceptions.StoreError:
                 self._lose_lease()
@@ -223,8 +227,8 @@
         await self._store.put(
             f'{_ENTRY_PREFIX}{self._own.name}', value, lease=lease
         )
-        # Each lease has an object of its own: a holder that runs under
-        # a lost one must not take the next one's time for its own.
+        # Each lease has its own object, so that a holder that runs under
+        # a lost lease does not rely on the expiry of the next one.
         self._lease = consents.StoreLease(lease)
 
     def _lose_lease(self) -> None:
@@ -232,24 +236,24 @@
         for scope in list(self._scopes.values()):
             scope.cancel()
 
-    async def _run_membership(self, group: anyio.abc.TaskGroup) -> None:
+    async def _run_membership_loop(self, group: anyio.abc.TaskGroup) -> None:
         while not self.leaving:
             try:
                 asked_at = time.monotonic()
                 page = await self._store.scan(LIVE_PREFIX)
                 self.promises.note_contact(asked_at)
-                self._note(page)
-                await self._take_preferred(group)
+                self._update_from(page)
+                await self._acquire_preferred(group)
                 await self._store.watch(
-                    LIVE_PREFIX, page.revision, _PERIOD * 4
+                    LIVE_PREFIX, page.revision, _RETRY_PERIOD_SECONDS * 4
                 )
             except exceptions.StoreError:
-                await anyio.sleep(_PERIOD)
+                await anyio.sleep(_RETRY_PERIOD_SECONDS)
 
-    def _note(self, page: store_module.Page) -> None:
+    def _update_from(self, page: store_module.Page) -> None:
         self.entries = {}
         self._holders = {}
-        self._taking.clear()
+        self._acquiring.clear()
         for item in page.items:
             entry = _LIVE_ENTRY.validate_json(item.value)
             if item.key.startswith(_ENTRY_PREFIX):
@@ -258,9 +262,9 @@
                 partition = int(item.key[len(_HOLDER_PREFIX) :])
                 self._holders[partition] = entry
                 self._revisions[partition] = item.revision
-        self._announce()
+        self._notify_changed()
 
-    async def _take_preferred(self, group: anyio.abc.TaskGroup) -> None:
+    async def _acquire_preferred(self, group: anyio.abc.TaskGroup) -> None:
         for partition, holder in self.held.items():
             if prefer_entry(partition, self.entries) != self._own.name:
                 holder.closing.set()
@@ -271,12 +275,14 @@
             if preferred != self._own.name:
                 await self._hand_over(partition)
             elif not self.promises.is_promised(partition):
-                await self._take(partition, group)
+                await self._acquire(partition, group)
 
-    async def _take(self, partition: int, group: anyio.abc.TaskGroup) -> None:
+    async def _acquire(
+        self, partition: int, group: anyio.abc.TaskGroup
+    ) -> None:
         lease = self._lease
         if partition not in self._holders:
-            self._taking.add(partition)
+            self._acquiring.add(partition)
             value = _LIVE_ENTRY.dump_json(self._own).decode()
             key = f'{_HOLDER_PREFIX}{partition:03d}'
             try:
@@ -289,15 +295,15 @@
             return
         if self._holds(partition) and not self.leaving:
             self.held[partition] = self._make_holder(partition, lease, self)
-            group.start_soon(self._hold, partition)
+            group.start_soon(self._run_holder, partition)
 
     def _holds(self, partition: int) -> bool:
         return self._holders.get(partition) == self._own
 
-    def _is_taken(self, partition: int) -> bool:
+    def _is_held_or_acquired(self, partition: int) -> bool:
         return (
             partition in self.held
-            or partition in self._taking
+            or partition in self._acquiring
             or self._holds(partition)
         )
 
@@ -311,7 +317,7 @@
             )
             del self._holders[partition]
 
-    async def _hold(self, partition: int) -> None:
+    async def _run_holder(self, partition: int) -> None:
         holder = self.held[partition]
         reason: object = 'handed over'
         try:
@@ -328,8 +334,8 @@
             logs.write_event(
                 'partition-lost', partition=partition, reason=reason
             )
-            self._announce()
+            self._notify_changed()
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         self.changed.set()
         self.changed = anyio.Event()
--- a/src/persimmonsail/partitioning/peers.py
+++ b/src/persimmonsail/partitioning/peers.py
@@ -1,9 +1,9 @@
-"""What the entries tell each other of the catalogue: a task per peer.
+"""Exchange of catalogue revisions between entries; one task per peer.
 
-Two things come from a peer: a revision higher than one's own, and
-evidence that there is none. A peer that has read the store lately
-passes its evidence on. In an outage that all entries see, they vouch
-for each other: see ``Peers.find_agreement``.
+A peer provides either a higher revision or evidence that there is none,
+based on how recently it read the store. In an outage that affects all
+entries, they confirm the revision to each other: see
+``Peers.find_agreement``.
 """
 
 import dataclasses
@@ -23,14 +23,14 @@
 from persimmonsail.partitioning import partitions as partitions_module
 from persimmonsail import settings as settings_module
 
-_CALM_FACTOR = 10
-_ALARM_FACTOR = 3
-_LIST_PERIOD = 0.5
+_NORMAL_PERIOD_HEARTBEATS = 10
+_STALE_AGE_HEARTBEATS = 3
+_LIST_PERIOD_SECONDS = 0.5
 
 
 @dataclasses.dataclass
 class _Answer:
-    """A peer's last answer; ``asked_at`` is monotonic seconds."""
+    """A peer's last reply; ``asked_at`` is monotonic seconds."""
 
     asked_at: float
     revision: int
@@ -38,16 +38,16 @@
 
 
 class Peers:
-    """Asks every other live entry for its revision.
+    """Queries every other live entry for its revision.
 
     Parameters
     ----------
     settings : persimmonsail.settings.Settings
-        The process' own settings.
+        This process's settings.
     view : persimmonsail.revisions.View
-        What to keep up to date.
+        The view to keep up to date.
     links : persimmonsail.links.Links
-        Where calls go out.
+        The links for outgoing calls.
     list_entries : callable
         Returns the live entries by name, as last read from the store.
     """
@@ -68,26 +68,26 @@
         self._tasks: dict[str, anyio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Keep a task for each listed peer, until cancelled."""
+        """Run a task for each listed peer until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 self._update_tasks(group)
-                await anyio.sleep(_LIST_PERIOD)
+                await anyio.sleep(_LIST_PERIOD_SECONDS)
 
     def find_agreement(self) -> float:
-        """Return since when all entries together vouch for the revision.
+        """Return since when all entries have confirmed the revision.
 
-        In an outage of the whole store nothing can be swapped, and
-        stopping every entry would turn it into an outage of the system.
-        So an entry serves on while *every* entry on the last list still
-        answers and none has a higher revision. One that misses the
-        answer of a single peer can't know whether that peer reaches the
-        store and has a new revision; it stops.
+        While the whole store is down the catalogue cannot be replaced,
+        and stopping every entry would take the system down as well. So
+        an entry continues while *every* entry last listed still answers
+        and none has a higher revision. Without the reply of even one
+        peer it stops, as that peer might reach the store and have a new
+        revision.
 
         Returns
         -------
         float
-            Monotonic seconds; minus infinity if they don't.
+            Monotonic seconds; minus infinity if they have not.
         """
         entries = self._list_entries()
         if self._own not in entries or not self._view.established:
@@ -99,8 +99,8 @@
             answer = self._answers.get(name)
             if answer is None or answer.revision > self._view.revision:
                 return -math.inf
-            # A restarted peer has forgotten what it knew; until it has
-            # read the store it can't vouch for anything.
+            # A restarted peer has lost its state; until it has read the
+            # store it cannot confirm anything.
             if not answer.established:
                 return -math.inf
             oldest = min(oldest, answer.asked_at)
@@ -116,35 +116,42 @@
             self._tasks.pop(address).cancel()
         for address in listed - self._tasks.keys():
             self._tasks[address] = anyio.CancelScope()
-            group.start_soon(self._follow, address, self._tasks[address])
+            group.start_soon(
+                self._run_peer_loop, address, self._tasks[address]
+            )
 
-    async def _follow(self, address: str, scope: anyio.CancelScope) -> None:
+    async def _run_peer_loop(
+        self, address: str, scope: anyio.CancelScope
+    ) -> None:
         asked_at = -math.inf
         with scope:
             while True:
                 if self._is_due(asked_at):
                     asked_at = time.monotonic()
-                    await self._try_ask(address)
+                    await self._try_query(address)
                 await anyio.sleep(self._limits.heartbeat)
 
-    async def _try_ask(self, address: str) -> None:
+    async def _try_query(self, address: str) -> None:
         try:
-            await self._ask(address)
+            await self._query(address)
         except exceptions.LinkLost as error:
             logs.write_event('peer-unreachable', entry=address, error=error)
         except exceptions.CatalogueUnreadable as error:
             logs.write_warning('catalogue-unreadable', error=error)
 
     def _is_due(self, asked_at: float) -> bool:
-        # While the store answers, peers are asked seldom: with 20 peers
-        # a question each half second would eat the budget of 4 KB/s.
-        # Once it does not, all must have answered within 'freshness'.
+        # While the store answers, peers are queried rarely: with 20 peers,
+        # a query every half second would use up the budget of 4 KB/s.
+        # Once it does not, all must answer within 'freshness'.
         heartbeat = self._limits.heartbeat
-        if self._view.age > heartbeat * _ALARM_FACTOR:
+        if self._view.age > heartbeat * _STALE_AGE_HEARTBEATS:
             return True
-        return time.monotonic() - asked_at >= heartbeat * _CALM_FACTOR
+        return (
+            time.monotonic() - asked_at
+            >= heartbeat * _NORMAL_PERIOD_HEARTBEATS
+        )
 
-    async def _ask(self, address: str) -> None:
+    async def _query(self, address: str) -> None:
         asked_at = time.monotonic()
         reply = await self._links.call(
             address,
@@ -161,7 +168,7 @@
             asked_at, reply.revision, reply.established
         )
         if reply.revision <= self._view.revision:
-            # The peer's own evidence is that old, and no newer than the
-            # question; a lower revision of a peer shows as much.
+            # The peer's evidence is that old, counted from the query; a
+            # peer with a lower revision provides the same evidence.
             at = asked_at - reply.store_age_seconds
             self._view.confirmed_at = max(self._view.confirmed_at, at)
--- a/src/persimmonsail/partitioning/status.py
+++ b/src/persimmonsail/partitioning/status.py
@@ -1,4 +1,4 @@
-"""How the entries stand, as they tell an operator's command."""
+"""Status of the entries, for the operators' commands."""
 
 import argparse
 import dataclasses
@@ -17,12 +17,12 @@
 from persimmonsail.partitioning import partitions
 from persimmonsail import store as store_module
 
-_POLL = 0.2
-_MAX_TIMEOUT = 2.0
+_POLL_PERIOD_SECONDS = 0.2
+_CALL_TIMEOUT_SECONDS = 2.0
 
 
 def describe_entry(entry: t.Any) -> control_pb2.StatusReply:
-    """Return the answer of an entry's ``Status`` call."""
+    """Return the reply to an entry's ``Status`` call."""
     live = {instance.name for instance in entry.fleet.list_live()}
     return control_pb2.StatusReply(
         entry=entry.settings.process.name,
@@ -44,14 +44,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unconfirmed:
-    """An entry or instance that does not show a revision, and why."""
+    """An entry or instance without a confirmed revision, and why."""
 
     name: str
     reason: str
 
 
 class Entries:
-    """The live entries, asked one by one over fresh links."""
+    """Queries the live entries one by one over new links."""
 
     def __init__(
         self, store: store_module.Store | None, links: links_module.Links
@@ -73,21 +73,21 @@
         Raises
         ------
         persimmonsail.exceptions.LinkLost
-            If it gave no answer.
+            If it did not answer.
         """
         return await self._links.call(
             address,
             control_grpc.EntryStub,
             'Status',
             control_pb2.StatusQuery(),
-            _MAX_TIMEOUT,
+            _CALL_TIMEOUT_SECONDS,
         )
 
     async def find_unconfirmed(self, revision: int) -> list[Unconfirmed]:
-        """Return which live processes don't show a revision yet.
+        """Return the live processes that have not confirmed a revision.
 
-        An instance counts by what its sidecar last reported to an entry
-        that sees it live: from then on the sidecar refuses work under a
+        For an instance, the sidecar's last report to an entry that has it
+        as live counts: from then on the sidecar refuses work under a
         lower revision.
         """
         found: list[Unconfirmed] = []
@@ -95,7 +95,7 @@
         async with anyio.create_task_group() as group:
             for name, address in addresses.items():
                 group.start_soon(self._check, name, address, revision, found)
-        return sorted(set(found), key=lambda one: one.name)
+        return sorted(set(found), key=lambda item: item.name)
 
     async def _check(
         self,
@@ -119,15 +119,15 @@
     async def wait_confirmed(
         self, revision: int, seconds: float
     ) -> list[Unconfirmed]:
-        """Wait until every live process shows a revision.
+        """Wait until every live process has confirmed a revision.
 
-        The list of entries is read again each time: one that died
-        leaves it when its lease ends.
+        Each poll reads the list of entries again, as a dead entry is
+        removed when its lease ends.
 
         Returns
         -------
         list of Unconfirmed
-            Who did not in time; empty once the revision is in force.
+            Those that did not in time; empty if the revision is in force.
         """
         deadline = time.monotonic() + seconds
         while True:
@@ -137,14 +137,17 @@
                 missing = [Unconfirmed('store', str(error))]
             if not missing or time.monotonic() >= deadline:
                 return missing
-            await anyio.sleep(_POLL)
+            await anyio.sleep(_POLL_PERIOD_SECONDS)
 
 
 async def run(arguments: argparse.Namespace) -> int:
-    """Print a line for each entry and each instance that it sees."""
+    """Print a line for each entry and each of its instances."""
     store = None
     if not arguments.store and not arguments.entries:
-        print('give --store or control addresses', file=sys.stderr)
+        print(
+            'no entries to ask: give --store or control addresses',
+            file=sys.stderr,
+        )
         return exits.USAGE
     if arguments.store:
         store = store_module.open_kind(
@@ -161,9 +164,9 @@
             await store.close()
 
 
-async def _print_all(entries: Entries, given: list[str]) -> int:
-    addresses = {address: address for address in given}
-    if not given:
+async def _print_all(entries: Entries, addresses_given: list[str]) -> int:
+    addresses = {address: address for address in addresses_given}
+    if not addresses_given:
         addresses = await entries.list_addresses()
     code = exits.OK
     for name, address in sorted(addresses.items()):
@@ -186,15 +189,15 @@
         reason=reply.unready,
         confirmed_seconds_ago=reply.store_age_seconds,
         partitions=','.join(map(str, reply.partitions)),
-        instances=sum(one.live for one in reply.instances),
+        instances=sum(item.live for item in reply.instances),
     )
-    for one in reply.instances:
+    for item in reply.instances:
         _print_line(
-            instance=one.instance,
+            instance=item.instance,
             seen_by=reply.entry,
-            revision=one.revision,
-            live=one.live,
-            leaving=one.leaving,
+            revision=item.revision,
+            live=item.live,
+            leaving=item.leaving,
         )
 
 
--- a/tests/bookkeeping/test_ledger.py
+++ b/tests/bookkeeping/test_ledger.py
@@ -25,9 +25,9 @@
     async def test_paused_holder_cannot_write_after_a_takeover(self):
         """A build runs twice.
 
-        Its first holder is frozen, a second takes the partition over,
-        writes so much that the ring goes round, and the first wakes and
-        claims the build at a position that it still takes for free.
+        The first holder is frozen; a second takes over the partition and
+        writes until the ring wraps around. The first resumes and claims
+        the build at a position that it still assumes to be free.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
@@ -45,21 +45,21 @@
     async def test_lost_answer_is_resolved_by_the_batch_id(self):
         """A task is refused although it was accepted.
 
-        The store commits the batch, its answer is lost, and the retry
-        meets its own write as a conflict.
+        The store commits the batch and its answer is lost, so that the
+        retry conflicts with the holder's own write.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
         await first.take_over('one')
         store.faults.lose_answers = 1
         await first.append((submit('a'),))
-        again = ledger.Ledger(store, 0)
-        await again.load()
-        self.assertEqual(['a'], list(again.table.tasks))
-        self.assertEqual(first.hash, again.hash)
+        reloaded = ledger.Ledger(store, 0)
+        await reloaded.load()
+        self.assertEqual(['a'], list(reloaded.table.tasks))
+        self.assertEqual(first.hash, reloaded.hash)
 
     async def test_batch_that_breaks_the_hash_chain_is_not_replayed(self):
-        """A holder goes on from a batch that somebody has changed."""
+        """A holder continues from a batch that was tampered with."""
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
         await first.take_over('one')
@@ -72,7 +72,7 @@
             await ledger.Ledger(store, 0).load()
 
     async def test_missing_position_is_not_passed_over(self):
-        """An accepted task is gone after a takeover."""
+        """An accepted task is lost in a takeover."""
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
         await first.take_over('one')
@@ -85,10 +85,10 @@
             await ledger.Ledger(store, 0).load()
 
     async def test_paused_holder_cannot_replace_a_later_snapshot(self):
-        """Accepted tasks vanish from a snapshot.
+        """Accepted tasks are lost from a snapshot.
 
-        The first holder is frozen while it writes a snapshot; a second
-        takes over and writes its own; the first one's write arrives.
+        The first holder is frozen while it writes a snapshot. A second
+        takes over and writes its own; then the first one's write arrives.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
@@ -105,10 +105,10 @@
         self.assertEqual(['a'], list(third.table.tasks))
 
     async def test_record_that_does_not_fit_is_never_written(self):
-        """A partition can't be loaded by anyone any more.
+        """No holder can load the partition any more.
 
-        A record that contradicts the table was committed; every replay
-        of the ledger stops at it.
+        A record that is invalid for the table was committed; every
+        replay of the ledger fails at it.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
@@ -116,16 +116,16 @@
         await first.append((submit('a'),))
         with testtools.ExpectedException(exceptions.LedgerCorrupt):
             await first.append((submit('b'), submit('a')))
-        again = ledger.Ledger(store, 0)
-        await again.load()
-        self.assertEqual(['a'], list(again.table.tasks))
-        self.assertEqual(first.position, again.position)
+        reloaded = ledger.Ledger(store, 0)
+        await reloaded.load()
+        self.assertEqual(['a'], list(reloaded.table.tasks))
+        self.assertEqual(first.position, reloaded.position)
 
-    async def test_snapshot_after_a_lost_answer_is_still_ours(self):
-        """A holder gives its partition up for no reason.
+    async def test_own_snapshot_is_recognised_after_a_lost_answer(self):
+        """A holder gives up its partition without need.
 
-        The store wrote its snapshot and lost the answer; the next one
-        has another text and meets the first as a conflict.
+        The store wrote its snapshot but the answer was lost. The next
+        snapshot has another text and conflicts with that one.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
@@ -135,30 +135,30 @@
             await first.write_snapshot()
         await first.append((submit('a'),))
         await first.write_snapshot()
-        again = ledger.Ledger(store, 0)
-        await again.load()
-        self.assertEqual(['a'], list(again.table.tasks))
+        reloaded = ledger.Ledger(store, 0)
+        await reloaded.load()
+        self.assertEqual(['a'], list(reloaded.table.tasks))
 
     async def test_ring_never_overwrites_what_no_snapshot_has(self):
-        """Tasks vanish after a holder's change.
+        """Tasks are lost when the holder changes.
 
-        Snapshots failed for so long that the ring went round over
-        batches which the next holder needs.
+        Snapshots fail for so long that the ring wraps around and
+        overwrites batches that the next holder needs.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
         await first.take_over('one')
         for number in range(ledger.SLOTS + 5):
             await first.append((submit(f't{number}'),))
-        again = ledger.Ledger(store, 0)
-        await again.load()
-        self.assertEqual(ledger.SLOTS + 5, len(again.table.tasks))
+        reloaded = ledger.Ledger(store, 0)
+        await reloaded.load()
+        self.assertEqual(ledger.SLOTS + 5, len(reloaded.table.tasks))
 
     async def test_snapshot_fits_a_value_at_the_size_designed_for(self):
-        """A partition stops for good once its snapshot is too large.
+        """A partition stops permanently once its snapshot is too large.
 
-        The busiest of eight partitions is given twice its share of
-        17,300 running tasks and of a day's 12,000 finished ones.
+        The largest of eight partitions is assumed to have twice its share
+        of 17,300 running tasks and of a day's 12,000 finished ones.
         """
         store = memory.MemoryStore()
         first = ledger.Ledger(store, 0)
@@ -185,6 +185,6 @@
         await first.write_snapshot()
         found = await store.get('ledger/000/snapshot')
         self.assertLess(len(found.value), 1_000_000)
-        again = ledger.Ledger(store, 0)
-        await again.load()
-        self.assertEqual(first.table, again.table)
+        reloaded = ledger.Ledger(store, 0)
+        await reloaded.load()
+        self.assertEqual(first.table, reloaded.table)
--- a/tests/bookkeeping/test_refsets.py
+++ b/tests/bookkeeping/test_refsets.py
@@ -16,7 +16,7 @@
     def renew(self, refs, reader=None):
         """Send one renewal; return its request and the tasks read."""
         request = control_pb2.RenewRequest(partition=3, incarnation='ab')
-        self.writer.name_tasks(request, refs)
+        self.writer.add_tasks(request, refs)
         received = control_pb2.RenewRequest.FromString(
             request.SerializeToString()
         )
@@ -25,19 +25,19 @@
         self.writer.note_reply(request, reply)
         return request, list(received.tasks) if known else None
 
-    def test_the_same_tasks_are_named_once(self):
+    def test_the_same_tasks_are_sent_once(self):
         refs = make_refs('a', 'b')
         first, _ = self.renew(refs)
         self.assertEqual(2, len(first.tasks))
-        again, read = self.renew(refs)
-        self.assertEqual(0, len(again.tasks))
+        repeated, read = self.renew(refs)
+        self.assertEqual(0, len(repeated.tasks))
         self.assertEqual(refs, read)
 
-    def test_a_changed_set_is_named_again(self):
-        """A released task runs on and is started elsewhere.
+    def test_a_changed_set_is_sent_again(self):
+        """A released task continues and is also started elsewhere.
 
-        Its holder leaves it out of the next renewal; a sidecar that
-        went on with the old set would extend its lease.
+        Its holder omits it from the next renewal; a sidecar that still
+        used the old set would extend its lease.
         """
         self.renew(make_refs('a', 'b'))
         _, read = self.renew(make_refs('a'))
@@ -45,11 +45,11 @@
         _, read = self.renew([])
         self.assertEqual([], read)
 
-    def test_a_sidecar_without_the_set_asks_for_it(self):
-        """A task's lease lapses although its holder renews it.
+    def test_a_sidecar_without_the_set_requests_it(self):
+        """A task's lease expires although its holder renews it.
 
-        Another holder has named a set for the partition in between, or
-        the sidecar has lost it.
+        Another holder has sent a set for the partition in between, or
+        the sidecar has lost the set.
         """
         refs = make_refs('a', 'b')
         self.renew(refs)
@@ -66,7 +66,7 @@
         request, read = self.renew(later)
         self.assertEqual(later, list(request.tasks))
 
-    def test_only_changed_states_are_told(self):
+    def test_active_states_are_dropped(self):
         reply = control_pb2.RenewReply()
         reply.states.add(task='a', phase=control_pb2.ACTIVE)
         reply.states.add(task='b', phase=control_pb2.ABSENT)
--- a/tests/bookkeeping/test_tasks.py
+++ b/tests/bookkeeping/test_tasks.py
@@ -19,7 +19,7 @@
 
 class TableTest(base.TestCase):
     def test_problems_are_found_in_the_order_of_the_batch(self):
-        """One caller's bad record fails the whole batch's callers."""
+        """One caller's invalid record fails all callers of its batch."""
         table = make_table(submit('a'))
         problems = table.find_problems(
             [
@@ -37,7 +37,7 @@
         self.assertEqual(['a'], list(table.tasks))
 
     def test_second_outcome_is_refused(self):
-        """A caller reads 'unknown' first and 'succeeded' later."""
+        """A caller reads 'unknown' first and then 'succeeded'."""
         table = make_table(
             submit('a'),
             records.Claimed('a', 1, 'one'),
@@ -47,14 +47,16 @@
             table.apply(records.Finished('a', 1, records.TaskPhase.SUCCEEDED))
 
     def test_checkpoint_is_released_once(self):
-        """Evicted work resumes twice, from two reports of one end."""
+        """An evicted task resumes twice, after two reports of one end."""
         table = make_table(
             submit('a'),
             records.Claimed('a', 1, 'one'),
             records.Released('a', 1, 'evicted', 'point'),
         )
-        again = records.Released('a', 1, 'evicted', 'point')
-        self.assertEqual(['a has no attempt 1'], table.find_problems([again]))
+        repeated = records.Released('a', 1, 'evicted', 'point')
+        self.assertEqual(
+            ['a has no attempt 1'], table.find_problems([repeated])
+        )
         self.assertEqual('point', table.tasks['a'].checkpoint)
         self.assertEqual(1, table.tasks['a'].evictions)
 
@@ -87,7 +89,7 @@
         self.assertEqual('', table.tasks['a'].payload)
 
     def test_only_failures_count_against_the_attempts(self):
-        """An idempotent build fails after refusals for lack of room."""
+        """An idempotent build fails after refusals for lack of capacity."""
         table = make_table(
             submit('a'),
             records.Claimed('a', 1, 'one'),
@@ -97,7 +99,7 @@
         )
         self.assertEqual(1, table.tasks['a'].failures)
 
-    def test_table_survives_its_stored_form(self):
+    def test_table_round_trips_through_its_stored_form(self):
         table = make_table(
             records.Opened('one', 1),
             records.Members((records.Member('id', 'host:1'),)),
--- a/tests/bookkeeping/test_turns.py
+++ b/tests/bookkeeping/test_turns.py
@@ -9,7 +9,7 @@
 
 
 class _Clock:
-    """Notes what would be slept, in place of sleeping."""
+    """Records requested sleeps instead of sleeping."""
 
     def __init__(self):
         self.slept = []
@@ -18,30 +18,30 @@
         self.slept.append(seconds)
 
 
-class TurnsTest(base.TestCase):
-    async def test_turns_are_spaced_over_all_callers(self):
-        found = turns.Turns(1000.0)
+class RateLimitTest(base.TestCase):
+    async def test_commits_are_spaced_over_all_callers(self):
+        limiter = turns.Turns(1000.0)
         clock = _Clock()
         self.patch(turns.anyio, 'sleep', clock.sleep)
         for _ in range(3):
-            await found.wait()
+            await limiter.wait()
         self.assertEqual(0, clock.slept[0])
         self.assertAlmostEqual(1000.0, clock.slept[1], places=0)
         self.assertAlmostEqual(2000.0, clock.slept[2], places=0)
 
-    async def test_records_that_wait_for_a_turn_share_one_write(self):
-        """The store refuses writes at the peak.
+    async def test_records_that_wait_to_be_committed_share_one_write(self):
+        """The store refuses writes at peak load.
 
-        Two partitions of one process commit at their own rates; with
-        32 partitions that is the store's whole rate.
+        Each partition of a process commits at a rate of its own; 32 of
+        them would use up the store's write rate.
         """
         store = memory.MemoryStore()
-        shared = turns.Turns(0.2)
+        limiter = turns.Turns(0.2)
         committers = []
         for partition in range(2):
-            log = ledger.Ledger(store, partition)
-            await log.take_over('one')
-            committers.append(commits.Committer(log, shared))
+            partition_ledger = ledger.Ledger(store, partition)
+            await partition_ledger.take_over('one')
+            committers.append(commits.Committer(partition_ledger, limiter))
         before = store.calls.write
 
         async def submit(committer, name):
--- a/tests/partitioning/test_consents.py
+++ b/tests/partitioning/test_consents.py
@@ -8,12 +8,12 @@
 from tests import clock
 from tests import instances
 
-PROMISE = 4.0
-LIMIT = 60.0
+PROMISE_SECONDS = 4.0
+OUTAGE_LIMIT = 60.0
 
 
 class ConsentTest(base.TestCase):
-    """A holder ``h`` and two other entries, cut off from the store."""
+    """Holder ``h`` and two other entries, without store contact."""
 
     def setUp(self):
         super().setUp()
@@ -32,7 +32,7 @@
             self.members[name] = name
         self.lease = consents.StoreLease('lease', self.clock.now + 5)
         self.authority = consents.Authority(
-            self.lease, self.links, 'h', PROMISE, LIMIT
+            self.lease, self.links, 'h', PROMISE_SECONDS, OUTAGE_LIMIT
         )
 
     def end_lease(self):
@@ -47,21 +47,21 @@
         self.assertFalse(self.authority.is_valid)
 
     async def test_unanimous_consent_lasts_for_its_time(self):
-        """Every watcher stops in an outage of the store."""
+        """Every watcher stops in a store outage."""
         self.end_lease()
         self.assertTrue(await self.ask())
         self.assertTrue(self.authority.is_valid)
         self.assertFalse(self.authority.lease_is_valid)
         self.assertTrue(self.links.entries['one'].is_promised(0))
-        self.clock.now += PROMISE
+        self.clock.now += PROMISE_SECONDS
         self.assertFalse(self.authority.is_valid)
         self.assertFalse(self.links.entries['one'].is_promised(0))
 
     async def test_unreachable_entry_denies_consent(self):
         """A watcher runs twice.
 
-        One entry is out of reach and may reach the store: it can take
-        the partition, so those that do answer are not enough.
+        One entry is unreachable but may have store contact and acquire
+        the partition, so the consent of the others is not sufficient.
         """
         self.end_lease()
         self.links.down.add('two')
@@ -69,7 +69,7 @@
         self.assertFalse(self.authority.is_valid)
 
     async def test_entry_with_store_contact_denies_consent(self):
-        """A partition stays with a holder that can commit nothing."""
+        """A partition stays with a holder that cannot commit."""
         self.end_lease()
         self.links.entries['two'].note_contact(self.lease.until + 0.5)
         self.assertFalse(await self.ask())
@@ -82,8 +82,8 @@
     async def test_restarted_entry_denies_consent(self):
         """A watcher runs twice after an entry's restart.
 
-        The process that was listed is gone with its promises; another
-        one answers at its address.
+        The listed process has ended and its promises are lost; another
+        process answers at its address.
         """
         self.end_lease()
         self.links.entries['two'] = consents.Promises(
@@ -102,18 +102,20 @@
     async def test_fenced_entry_denies_consent_to_earlier_epochs(self):
         """A watcher runs twice.
 
-        An entry that the holder never heard of has taken the partition
-        in the store, while all that it knows are still cut off.
+        An entry unknown to the holder has acquired the partition in the
+        store, while all entries known to it have no store contact.
         """
         self.end_lease()
-        fence = consents.Fence(self.links, 'new', PROMISE, LIMIT)
+        fence = consents.Fence(
+            self.links, 'new', PROMISE_SECONDS, OUTAGE_LIMIT
+        )
         members = [records.Member('two', 'two')]
         await fence.run(0, 2, members)
         self.assertFalse(await self.ask(epoch=1))
         self.assertTrue(await self.ask(epoch=2))
 
     async def test_no_consent_is_asked_for_past_the_limit(self):
-        self.clock.now = self.lease.until + LIMIT + 1
+        self.clock.now = self.lease.until + OUTAGE_LIMIT + 1
         self.assertFalse(await self.ask())
         self.assertEqual([], self.links.calls)
 
@@ -136,25 +138,29 @@
         patch.start()
         self.addCleanup(patch.stop)
         self.links = instances.Links()
-        self.fence = consents.Fence(self.links, 'me', PROMISE, LIMIT)
+        self.fence = consents.Fence(
+            self.links, 'me', PROMISE_SECONDS, OUTAGE_LIMIT
+        )
 
     async def test_own_promises_suffice(self):
-        """The listed entry kept its promise by not taking over before."""
+        """The listed entry kept its promise by not taking over earlier."""
         await self.fence.run(0, 2, [records.Member('me', 'me')])
-        self.assertEqual(self.clock.now, self.fence.consents_over_at)
+        self.assertEqual(self.clock.now, self.fence.consents_expired_at)
         self.assertEqual([], self.links.calls)
 
     async def test_fenced_member_bounds_consents_by_one_promise(self):
         """A watcher runs twice.
 
-        The new holder was not listed by the old one, so that nobody has
-        promised on its behalf; consents given just now still stand.
+        The old holder had not listed the new one, which thus has made no
+        promise; the consents that others have just given are still valid.
         """
         self.links.entries['one'] = consents.Promises('one', bool)
         self.links.down.add('x')
         members = [records.Member('gone', 'x'), records.Member('one', 'one')]
         await self.fence.run(0, 2, members)
-        self.assertEqual(self.clock.now + PROMISE, self.fence.consents_over_at)
+        self.assertEqual(
+            self.clock.now + PROMISE_SECONDS, self.fence.consents_expired_at
+        )
 
 
 class SilenceTest(base.TestCase):
@@ -167,37 +173,37 @@
         self.contacts = contacts.Contacts(instances.LEASE)
 
     def test_new_holder_counts_from_its_own_takeover(self):
-        """A watcher runs twice after its holder's change.
+        """A watcher runs twice after a change of holder.
 
-        The new holder can't reach the instance, while the old one's
-        last renewal may have been a moment ago.
+        The new holder cannot reach the instance, which the old one may
+        have renewed right before the change.
         """
         taken_at = self.clock.now
-        self.clock.now += instances.LEASE + contacts.LEASE_MARGIN
-        self.assertFalse(self.contacts.is_over('one', taken_at))
+        self.clock.now += instances.LEASE + contacts.LEASE_MARGIN_SECONDS
+        self.assertFalse(self.contacts.has_expired('one', taken_at))
         self.clock.now += 0.1
-        self.assertTrue(self.contacts.is_over('one', taken_at))
+        self.assertTrue(self.contacts.has_expired('one', taken_at))
 
-    def test_contact_starts_the_count_anew(self):
+    def test_contact_resets_the_silence(self):
         taken_at = self.clock.now
         self.clock.now += instances.LEASE
         reply = control_pb2.RenewReply(ticket=5.0, boot='b')
         self.contacts.note('one', 'i', reply)
-        self.clock.now += instances.LEASE + contacts.LEASE_MARGIN
-        self.assertFalse(self.contacts.is_over('one', taken_at))
+        self.clock.now += instances.LEASE + contacts.LEASE_MARGIN_SECONDS
+        self.assertFalse(self.contacts.has_expired('one', taken_at))
 
-    def test_consents_that_may_stand_are_waited_for(self):
+    def test_consents_that_may_be_valid_are_waited_for(self):
         self.clock.now += 10 * instances.LEASE
-        self.assertFalse(self.contacts.is_over('one', float('inf')))
+        self.assertFalse(self.contacts.has_expired('one', float('inf')))
 
-    def test_earlier_holder_that_may_go_on_is_waited_for(self):
+    def test_earlier_holder_with_authority_is_waited_for(self):
         """A watcher runs twice.
 
-        The new holder met the instance before the earlier one's consent
-        had ended; the earlier one may have renewed since.
+        The new holder contacted the instance before the consent for the
+        earlier one expired; the earlier one may have renewed since.
         """
         self.contacts.note('one', 'i', control_pb2.RenewReply(ticket=5.0))
         self.clock.now += instances.LEASE
-        others_over_at = self.clock.now
+        others_expired_at = self.clock.now
         self.clock.now += instances.LEASE
-        self.assertFalse(self.contacts.is_over('one', others_over_at))
+        self.assertFalse(self.contacts.has_expired('one', others_expired_at))
--- a/tests/partitioning/test_forwarding.py
+++ b/tests/partitioning/test_forwarding.py
@@ -12,13 +12,13 @@
 
 
 class StubHolder:
-    """Accepts every task that reaches it."""
+    """Accepts every submitted task."""
 
     ready = True
 
-    def __init__(self, *known: str) -> None:
+    def __init__(self, *known_tasks: str) -> None:
         self.table = tasks.Table()
-        for task in known:
+        for task in known_tasks:
             self.table.tasks[task] = self.make_task(task)
 
     def make_task(self, task):
@@ -29,8 +29,8 @@
 
 
 class SubmitHereTest(base.TestCase):
-    def make_forwarder(self, view, *known):
-        partitions = types.SimpleNamespace(held={0: StubHolder(*known)})
+    def make_forwarder(self, view, *known_tasks):
+        partitions = types.SimpleNamespace(held={0: StubHolder(*known_tasks)})
         entry = types.SimpleNamespace(partitions=partitions, view=view)
         return forwarding.TaskForwarder(entry)
 
@@ -51,10 +51,10 @@
         )
 
     async def test_holder_without_evidence_accepts_nothing(self):
-        """A task is accepted under a replaced quota.
+        """A task is accepted under an outdated quota.
 
         The entry that the caller reached is up to date; the one that
-        holds the partition is cut off from store and peers.
+        holds the partition reaches neither store nor peers.
         """
         forwarder = self.make_forwarder(self.make_view(FRESHNESS + 1))
         reply = await forwarder.submit_here(self.make_request())
@@ -71,10 +71,10 @@
         self.assertTrue(reply.accepted)
 
     async def test_known_task_is_never_called_not_run(self):
-        """A caller is told 'not run' of a build that ran.
+        """A caller gets 'not run' for a build that has run.
 
-        It repeats its request with the same key while the holder has
-        no evidence; the build was accepted long before.
+        It repeats its request with the same key while the holder has no
+        evidence of the current revision; the build was accepted earlier.
         """
         view = self.make_view(FRESHNESS + 1)
         forwarder = self.make_forwarder(view, 't')
--- a/tests/partitioning/test_holder.py
+++ b/tests/partitioning/test_holder.py
@@ -35,11 +35,11 @@
 """,
     'entry',
 )
-SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Partition:
-    """A store, one instance, and holders that follow each other."""
+    """A store, instances, and successive holders of one partition."""
 
     def __init__(self) -> None:
         self.store = memory.MemoryStore()
@@ -49,14 +49,14 @@
         self.view.catalogue = catalogue.parse('test', recovery.CATALOGUE)
 
     async def add(self, name: str) -> instances.Instance:
-        """Add an instance that has announced itself."""
+        """Add an instance, and report it to the entry."""
         instance = await instances.Instance().open()
         self.links.sidecars[name] = instance
         self.announce(name)
         return instance
 
     def announce(self, name: str) -> None:
-        """Let a sidecar report to the entry."""
+        """Report an instance to the entry as its sidecar would."""
         own = self.links.sidecars[name].own
         capacity = admission.Size(64, 250, 0).to_message()
         self.fleet.note_report(
@@ -70,7 +70,7 @@
         )
 
     def make_holder(self) -> holder.Holder:
-        """Return a holder whose store lease is long."""
+        """Return a holder whose store lease does not expire."""
         return holder.Holder(
             ledger.Ledger(self.store, 0),
             self.fleet,
@@ -84,7 +84,7 @@
 
     @contextlib.asynccontextmanager
     async def hold(self):
-        """Run a holder; it is killed at the end."""
+        """Run a holder, and kill it at the end."""
         found = self.make_holder()
         async with anyio.create_task_group() as group:
             group.start_soon(found.run)
@@ -94,8 +94,8 @@
 
 
 async def wait_for(found: holder.Holder, check) -> None:
-    """Wait until something of a holder has changed as expected."""
-    with anyio.fail_after(SECONDS):
+    """Wait until a condition on a holder holds."""
+    with anyio.fail_after(TIMEOUT_SECONDS):
         while not check():  # noqa: ASYNC110
             await anyio.sleep(0.005)
 
@@ -112,8 +112,8 @@
 
 
 class EndingTest(base.TestCase):
-    async def follow(self, workload: str, change) -> records.TaskPhase:
-        """Run a task, change what its worker has, and see it end."""
+    async def run_to_end(self, workload: str, change) -> records.TaskPhase:
+        """Run a task, change its worker's state, and wait for its end."""
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
@@ -134,42 +134,42 @@
     async def test_build_of_a_restarted_worker_is_unknown(self):
         """A build runs twice, with conflicting pin maps.
 
-        Its worker was killed and started again; the new process knows
-        of no attempt, which looks like one that never started.
+        Its worker was killed and restarted; the new process does not know
+        the attempt, as if it had never been started.
         """
-        phase = await self.follow('build', lambda i: i.replace_worker())
+        phase = await self.run_to_end('build', lambda i: i.replace_worker())
         self.assertEqual(records.TaskPhase.UNKNOWN, phase)
         self.assertEqual('the worker was restarted', self.reason)
 
     async def test_watcher_of_a_restarted_worker_starts_again(self):
-        phase = await self.follow('watcher', lambda i: i.replace_worker())
+        phase = await self.run_to_end('watcher', lambda i: i.replace_worker())
         self.assertEqual(records.TaskPhase.CLAIMED, phase)
 
-    async def test_a_watcher_that_ends_its_workers_starts_ever_later(self):
-        """A watcher takes a worker with it as often as it is started.
+    async def test_restarts_of_a_watcher_that_crashes_workers_back_off(self):
+        """A watcher that crashes its worker is restarted too often.
 
-        Whatever else runs there begins anew each time; the watcher itself
-        was started ten times a second.
+        It was restarted ten times a second, and each crash restarts the
+        colocated tasks as well.
         """
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
             await found.submit(make_submit('t', 'watcher'))
-            begun = anyio.current_time()
+            started_at = anyio.current_time()
             for attempt in range(1, 7):
                 await wait_for(
                     found, lambda n=attempt: instance.has_attempt('t', n)
                 )
                 instance.replace_worker()
-            self.assertGreater(anyio.current_time() - begun, 2.5)
+            self.assertGreater(anyio.current_time() - started_at, 2.5)
 
     async def test_evicted_build_resumes_from_its_checkpoint(self):
-        points = []
+        checkpoints = []
 
         def evict(instance):
             run = instance.find_run('t')
             instance.server._end(run, 'evicted', 'asked')
-            points.append(run.checkpoint)
+            checkpoints.append(run.checkpoint)
 
         partition = Partition()
         instance = await partition.add('one')
@@ -178,27 +178,27 @@
             await wait_for(found, lambda: is_running(instance, 't'))
             evict(instance)
             await wait_for(found, lambda: instance.has_attempt('t', 2))
-            self.assertEqual(points[0], instance.find_run('t').resumed)
+            self.assertEqual(checkpoints[0], instance.find_run('t').resumed)
 
     async def test_build_evicted_without_a_checkpoint_is_unknown(self):
         """A build runs twice.
 
-        Its worker had no time for a checkpoint; what it did so far
-        can't be taken up, and must not be done again.
+        Its worker had no time for a checkpoint; its work so far cannot be
+        resumed and must not be repeated.
         """
 
         def evict(instance):
             instance.server._end(instance.find_run('t'), 'evicted', 'asked')
             instance.find_run('t').checkpoint = ''
 
-        phase = await self.follow('build', evict)
+        phase = await self.run_to_end('build', evict)
         self.assertEqual(records.TaskPhase.UNKNOWN, phase)
 
     async def test_build_that_never_arrived_runs_once(self):
-        """A build is lost, or reported as unknown for nothing.
+        """A build is lost, or reported as unknown without need.
 
-        Its start got lost on the way; the worker is the same process
-        and knows nothing of it, so it has not run.
+        Its start was lost on the way. The worker is the same process and
+        does not know the attempt, so it has not run.
         """
         partition = Partition()
         instance = await partition.add('one')
@@ -216,7 +216,7 @@
         self.assertEqual(1, len(started))
 
     async def test_ends_are_acknowledged(self):
-        """A worker's memory grows with every task that it ever ran."""
+        """A worker's memory grows with every task that it has run."""
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
@@ -228,12 +228,11 @@
 
 
 class ReassignTest(base.TestCase):
-    async def test_dead_worker_behind_a_live_sidecar_is_given_up(self):
-        """A watcher is down for good.
+    async def test_dead_worker_behind_a_live_sidecar_is_abandoned(self):
+        """A watcher is down permanently.
 
-        Its worker is gone and the sidecar answers each renewal without
-        it: that must not count as contact, or its lease would seem to
-        be extended for ever.
+        Its worker is dead and the sidecar still answers renewals. That
+        must not count as contact, or the lease would never expire.
         """
         partition = Partition()
         first = await partition.add('one')
@@ -247,8 +246,8 @@
     async def test_holder_without_authority_extends_nothing(self):
         """A watcher runs twice.
 
-        A holder that was paused past its lease in the store goes on
-        renewing while another one may have the partition.
+        A holder that was paused past the end of its store lease continues
+        to renew while another one may hold the partition.
         """
         partition = Partition()
         instance = await partition.add('one')
@@ -278,17 +277,17 @@
                 await found.submit(make_submit('w', 'watcher'))
                 await wait_for(found, lambda: is_running(instance, 'w'))
                 await instance.supervisor.renew(instance.make_renew(epoch=9))
-                await anyio.sleep(SECONDS)
+                await anyio.sleep(TIMEOUT_SECONDS)
         self.assertFalse(found.ready)
 
 
 class AnswerTest(base.TestCase):
     async def test_submit_while_the_store_is_down_is_not_run(self):
-        """A caller waits for nothing, or is told a lie.
+        """A caller waits in vain, or gets a wrong verdict.
 
-        The first submit of an outage may have been written: unknown,
-        within its time. The next ones were never proposed: not run, at
-        once. The same key finds the first one later.
+        The first submit in an outage may have been written: its outcome
+        is unknown, within its timeout. Later ones are never proposed: not
+        run, immediately. The same key finds the first one afterwards.
         """
         partition = Partition()
         async with partition.hold() as found:
@@ -299,15 +298,15 @@
                 await found.submit(make_submit('b', seconds=60))
             partition.store.faults.down = False
             await wait_for(found, lambda: 'a' in found.table.tasks)
-            again = await found.submit(make_submit('a'))
-            self.assertEqual('a', again.id)
+            repeated = await found.submit(make_submit('a'))
+            self.assertEqual('a', repeated.id)
             self.assertNotIn('b', found.table.tasks)
 
     async def test_withdrawn_submit_is_never_written(self):
-        """A task that was refused as not run runs.
+        """A task that was refused as not run does run.
 
-        It waited behind a slow batch, its caller's time was over, and
-        the next batch took it all the same.
+        It waited behind a slow batch until its caller's timeout, and was
+        still included in the next batch.
         """
         partition = Partition()
         async with partition.hold() as found:
@@ -334,10 +333,10 @@
             self.assertEqual(['a'] * 5, [task.id for task in results])
 
     async def test_key_of_an_unknown_submit_is_not_reported_not_run(self):
-        """A build runs that its caller was told did not run.
+        """A build runs although its caller got 'not run'.
 
-        The first try's outcome is unknown; the caller sends the key
-        again while the store is still down, and that try is refused.
+        The first attempt's outcome is unknown; the caller sends the key
+        again while the store is still down, and that attempt is refused.
         """
         partition = Partition()
         async with partition.hold() as found:
@@ -348,8 +347,8 @@
             partition.store.faults.down = False
             await wait_for(found, lambda: 'a' in found.table.tasks)
 
-    async def test_wave_of_cancellations_takes_few_commits(self):
-        """Answers wait behind a wave of cancellations."""
+    async def test_burst_of_cancellations_takes_few_commits(self):
+        """Answers are delayed by a burst of cancellations."""
         partition = Partition()
         async with partition.hold() as found:
             async with anyio.create_task_group() as group:
@@ -367,7 +366,7 @@
             self.assertLess(found.ledger.position - before, 10)
 
     async def test_a_start_is_not_sent_once_its_cancel_is_written(self):
-        """A cancelled build begins: its sidecar was silent meanwhile."""
+        """A build cancelled during its sidecar's silence is started."""
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
@@ -397,12 +396,12 @@
             await wait_for(found, lambda: found._committer._writing)
             found.closing.set()
         self.assertFalse(found.ready)
-        again = ledger.Ledger(partition.store, 0)
-        await again.load()
-        self.assertEqual(['a'], list(again.table.tasks))
+        reloaded = ledger.Ledger(partition.store, 0)
+        await reloaded.load()
+        self.assertEqual(['a'], list(reloaded.table.tasks))
 
-    async def test_waiting_caller_is_told_of_the_hand_over(self):
-        """A caller hangs although its task has long ended elsewhere."""
+    async def test_waiting_caller_is_notified_of_the_hand_over(self):
+        """A caller hangs although its task has ended at another holder."""
         partition = Partition()
         found = partition.make_holder()
         async with anyio.create_task_group() as group:
@@ -420,9 +419,9 @@
     async def test_closing_holder_extends_no_lease(self):
         """A watcher runs twice at a planned replacement.
 
-        The leaving holder's last commit takes long; its follower counts
-        silence from its own takeover, which may come before the end of
-        the leases that the leaving one still extends.
+        The last commit of the leaving holder is slow. Its successor
+        measures silence from its own takeover, which may precede the end
+        of leases that the leaving holder still extends.
         """
         partition = Partition()
         await partition.add('one')
@@ -434,7 +433,9 @@
             await wait_for(
                 found,
                 lambda: any(
-                    m.tasks for n, m in partition.links.calls if n == 'Renew'
+                    message.tasks
+                    for n, message in partition.links.calls
+                    if n == 'Renew'
                 ),
             )
             partition.store.faults.delay = 0.8
@@ -446,24 +447,24 @@
         self.assertEqual([], partition.links.calls[before:])
 
 
-class FollowerTest(base.TestCase):
-    """A holder is killed; the next one finds what it left."""
+class SuccessorTest(base.TestCase):
+    """A holder is killed, and a successor takes over its state."""
 
     async def test_claim_whose_answer_was_lost_runs_once(self):
         """A build is lost, or runs twice.
 
-        The claim was written and its holder killed before it heard so:
-        nothing was sent to the instance.
+        The claim was written, but its holder was killed before the reply
+        arrived, so nothing was sent to the instance.
         """
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
             partition.fleet.find('one').leaving = True
             await found.submit(make_submit('t'))
-        again = ledger.Ledger(partition.store, 0)
-        await again.load()
+        reloaded = ledger.Ledger(partition.store, 0)
+        await reloaded.load()
         boot = instance.worker.boot
-        await again.append((records.Claimed('t', 1, 'one', boot),))
+        await reloaded.append((records.Claimed('t', 1, 'one', boot),))
         partition.announce('one')
         async with partition.hold() as found:
             await wait_for(found, lambda: is_running(instance, 't'))
@@ -473,9 +474,9 @@
     async def test_start_under_way_at_a_kill_runs_once(self):
         """A build runs twice.
 
-        The holder is killed while its start is on the way to the
-        worker; its follower asks, hears that the worker knows nothing,
-        and starts the next attempt; then the first start arrives.
+        The holder is killed while its start is on the way to the worker.
+        Its successor learns that the worker does not know the attempt,
+        and starts the next one; then the first start arrives.
         """
         partition = Partition()
         instance = await partition.add('one')
@@ -501,10 +502,10 @@
         self.assertEqual(1, len(started))
 
     async def test_answer_told_to_a_killed_holder_is_told_again(self):
-        """A build's answer is lost, or it runs again.
+        """A build's answer is lost, or the build runs again.
 
-        The worker has told its outcome to a holder that was killed
-        before its commit.
+        The worker has reported its outcome to a holder that was killed
+        before it committed the outcome.
         """
         partition = Partition()
         instance = await partition.add('one')
@@ -522,7 +523,7 @@
             self.assertEqual('pin map', task.answer)
             self.assertEqual(1, task.attempt)
 
-    async def test_follower_keeps_what_runs(self):
+    async def test_successor_keeps_running_tasks(self):
         """Every watcher restarts when an entry dies."""
         partition = Partition()
         instance = await partition.add('one')
--- a/tests/partitioning/test_partitions.py
+++ b/tests/partitioning/test_partitions.py
@@ -11,11 +11,11 @@
 from standins import memory
 from tests import base
 
-SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
-class HeldPartition:
-    """Stands in for a holder; runs until it is closed."""
+class StubHolder:
+    """A holder that only runs until it is closed."""
 
     def __init__(self, number, lease, owner) -> None:
         self.number = number
@@ -49,13 +49,13 @@
 
 def make_partitions(store, name: str, control: str = 'host:1', count=1):
     return partitions.Partitions(
-        store, parse_settings(name, count), control, HeldPartition
+        store, parse_settings(name, count), control, StubHolder
     )
 
 
 @contextlib.asynccontextmanager
 async def run_partitions(*owners):
-    """Run entries' partitions; they are killed at the end."""
+    """Run entries' partitions, and kill them at the end."""
     async with anyio.create_task_group() as group:
         for owner in owners:
             group.start_soon(owner.run)
@@ -64,8 +64,8 @@
 
 
 async def wait_for(owner, check) -> None:
-    """Wait until something of an entry's partitions is as expected."""
-    with anyio.fail_after(SECONDS):
+    """Wait until a condition on an entry's partitions holds."""
+    with anyio.fail_after(TIMEOUT_SECONDS):
         while not check():
             with anyio.move_on_after(0.05):
                 await owner.changed.wait()
@@ -79,16 +79,18 @@
         async with run_partitions(one, two):
             await wait_for(one, lambda: len(one.entries) == 2)
             preferred = partitions.prefer_entry(0, ['one', 'two'])
-            taker, other = (one, two) if preferred == 'one' else (two, one)
-            await wait_for(taker, lambda: 0 in taker.held)
+            holding_entry, other = (
+                (one, two) if preferred == 'one' else (two, one)
+            )
+            await wait_for(holding_entry, lambda: 0 in holding_entry.held)
             await wait_for(other, lambda: 0 not in other.held)
 
     async def test_restarted_entry_waits_for_its_predecessors_lease(self):
         """A watcher runs twice.
 
-        An entry is killed and starts again under its name and address.
-        The key of its predecessor's partition stands under a lease that
-        nobody renews: another entry takes it any moment.
+        An entry is killed and restarts under its name and address. Its
+        predecessor's partition key is attached to a lease that nobody
+        renews, so another entry can acquire the partition at any time.
         """
         store = memory.MemoryStore()
         old = make_partitions(store, 'one')
@@ -102,10 +104,10 @@
             self.assertEqual(new.promises.id, new.find_holder(0).id)
 
     async def test_promised_partition_is_not_taken(self):
-        """A watcher runs twice after an outage of the store.
+        """A watcher runs twice after a store outage.
 
-        This entry has promised a holder that is cut off not to follow
-        it for a while; then the store answers this entry again.
+        This entry has promised a holder without store contact not to
+        replace it for some time; then the store answers this entry again.
         """
         store = memory.MemoryStore()
         one = make_partitions(store, 'one')
@@ -125,9 +127,9 @@
     async def test_lost_lease_ends_the_holder_for_good(self):
         """A watcher runs twice.
 
-        The store has forgotten an entry's lease, and another entry may
-        have the partition. The entry gets a new lease; its old holder
-        must not take that one's time for its own.
+        The store has lost an entry's lease, and another entry may hold
+        the partition. The entry obtains a new lease, whose expiry its old
+        holder must not rely on.
         """
         store = memory.MemoryStore()
         one = make_partitions(store, 'one')
@@ -142,7 +144,7 @@
             self.assertTrue(one.held[0].lease.is_valid)
 
     async def test_leaving_entry_releases_its_keys_at_once(self):
-        """Tasks wait for seconds at each planned replacement."""
+        """Tasks are delayed by seconds at each planned replacement."""
         store = memory.MemoryStore()
         one = make_partitions(store, 'one')
         async with run_partitions(one):
@@ -152,7 +154,7 @@
             self.assertEqual((), page.items)
             self.assertEqual({}, one.held)
 
-    async def test_lost_answer_of_the_taking_is_found_out(self):
+    async def test_lost_answer_of_an_acquisition_is_resolved(self):
         store = memory.MemoryStore()
         one = make_partitions(store, 'one')
         store.faults.lose_answers = 3
@@ -160,7 +162,7 @@
             await wait_for(one, lambda: 0 in one.held)
 
     async def test_other_partition_count_is_refused(self):
-        """One key's build runs in two ledgers."""
+        """The build of one key runs in two ledgers."""
         store = memory.MemoryStore()
         one = make_partitions(store, 'one')
         async with run_partitions(one):
@@ -169,7 +171,7 @@
         with testtools.ExpectedException(
             exceptions.SettingsMismatch, '.*partitions = 2.*has 1'
         ):
-            with anyio.fail_after(SECONDS):
+            with anyio.fail_after(TIMEOUT_SECONDS):
                 await other.run()
 
     async def test_fence_ends_a_holder_of_an_earlier_epoch(self):
--- a/tests/partitioning/test_peers.py
+++ b/tests/partitioning/test_peers.py
@@ -34,7 +34,7 @@
 
 
 class StubPeer(control_grpc.EntryBase):
-    """An entry that answers what a test tells it to."""
+    """An entry that returns a preset reply."""
 
     def __init__(self, reply: control_pb2.PeerReply) -> None:
         self.reply = reply
@@ -54,7 +54,7 @@
 
 class PeersTest(base.TestCase):
     async def run_with_peer(self, reply, view, check):
-        """Follow one listed peer that answers so, then run a check."""
+        """Query one listed peer that sends this reply, then run a check."""
         stub = StubPeer(reply)
         server = grpclib.server.Server([stub])
         sock = addresses.bind('127.0.0.1:0')
@@ -97,8 +97,8 @@
     async def test_higher_revision_comes_from_a_peer(self):
         """An accepted edit is missing at one entry.
 
-        Its watch is silent and it can't reach the store; another entry
-        has the new revision.
+        Its watch delivers nothing and it cannot reach the store; another
+        entry has the new revision.
         """
         view = self.make_view()
         head = revisions.dump_head(test_revisions.make_head(2))
@@ -110,7 +110,7 @@
             self.make_reply(2, 0.0, catalogue=head), view, check
         )
 
-    async def test_peer_passes_its_evidence_on(self):
+    async def test_peer_forwards_its_evidence(self):
         view = self.make_view()
 
         async def check(found, listed):
@@ -142,11 +142,11 @@
         )
 
     async def test_restarted_peer_can_not_vouch(self):
-        """An accepted edit is forgotten.
+        """An accepted edit is lost.
 
-        In an outage, the only entry that has read it dies before it
-        tells anybody. Restarted, it knows nothing, and its empty word
-        must not let the others serve on under the replaced revision.
+        In a store outage, the only entry that has read it dies before it
+        informs the others. After its restart it has no state, and its
+        reply must not let them continue under the replaced revision.
         """
         view = self.make_view()
 
@@ -168,11 +168,11 @@
             self.make_reply(1, established=True), view, check
         )
 
-    async def test_peer_with_a_higher_revision_does_not_vouch(self):
+    async def test_peer_with_a_higher_revision_does_not_confirm(self):
         """An entry admits work under a replaced catalogue.
 
-        The store is down for it; its only peer has a newer revision,
-        whose text did not come through.
+        It cannot reach the store; its only peer has a newer revision,
+        whose text it has not received.
         """
         view = self.make_view()
 
@@ -188,8 +188,8 @@
 class SidecarRevisionTest(base.TestCase):
     """A replaced limit admits work again.
 
-    The sidecar restarts and forgets the highest revision; an entry that
-    slept through an accepted change sends the old one.
+    The sidecar restarts and loses the highest revision; an entry that
+    has missed an accepted change sends the old one.
     """
 
     async def execute(self, own, revision):
@@ -250,10 +250,10 @@
         self.assertIn('no entry confirms', own.find_staleness())
 
     def test_evidence_older_than_the_sidecar_is_not_enough(self):
-        """A sidecar goes back to a lower revision.
+        """A sidecar returns to a lower revision.
 
-        Before its restart one entry told it of a change; after the
-        restart another one is first, which has not heard of the change
+        Before its restart, one entry informed it of a change. After the
+        restart, another entry is first, which has not received the change
         yet and still counts as fresh.
         """
         own = instance.OwnInstance(notice_limit=2.0)
--- a/tools/guards_tasks.py
+++ b/tools/guards_tasks.py
@@ -188,7 +188,7 @@
         'authority before each renewal',
         'I2',
         'src/persimmonsail/partitioning/renewals.py',
-        '        if not self._holding.authority.is_valid:',
+        '        if not self._context.authority.is_valid:',
         '        if False:',
         ('tests/partitioning/test_holder.py',),
     ),
@@ -212,7 +212,7 @@
         'doubled key is not reported as not run',
         'I5',
         'src/persimmonsail/partitioning/holder.py',
-        '            if self._unsettled[request.task] > 0:',
+        '            if self._uncertain_submits[request.task] > 0:',
         '            if False:',
         ('tests/partitioning/test_holder.py',),
     ),
@@ -247,12 +247,12 @@
         (
             '        self._authority.release()\n'
             '        self.ready = False\n'
-            '        self._committer.announce()\n'
+            '        self._committer.notify_changed()\n'
             '        seconds'
         ),
         (
             '        self.ready = False\n'
-            '        self._committer.announce()\n'
+            '        self._committer.notify_changed()\n'
             '        seconds'
         ),
         ('tests/partitioning/test_holder.py',),
