--- a/src/persimmonsail/partitioning/dispatch.py
+++ b/src/persimmonsail/partitioning/dispatch.py
@@ -48,7 +48,7 @@
             time.monotonic,
         )
         self._planner = planner_module.Planner(
-            context.fleet, context.knowledge, self._placer.choose_task
+            context.fleet, context.learned_state, self._placer.choose_task
         )
         self._backoff = backoff.Backoff(random.Random(context.partition))
         self._starting: set[str] = set()
@@ -125,7 +125,7 @@
         return pending
 
     def _log_waiting(self) -> None:
-        waiting = self._planner.waiting
+        waiting = self._planner.wait_reasons
         for task, reason in waiting.items():
             if self._logged_reasons.get(task) != reason:
                 logs.write_event('waiting', task=task, reason=reason)
@@ -225,7 +225,7 @@
             canary=step.canary,
             suspect=step.suspect,
         )
-        self._context.knowledge.note_start(task.id, time.monotonic())
+        self._context.learned_state.note_start(task.id, time.monotonic())
         try:
             reply = await self._context.links.call(
                 chosen.address,
--- a/src/persimmonsail/partitioning/endings.py
+++ b/src/persimmonsail/partitioning/endings.py
@@ -94,7 +94,7 @@
         answer: str = '',
     ) -> None:
         """Commit a task's final outcome."""
-        self._context.knowledge.forget(task.id)
+        self._context.learned_state.forget(task.id)
         await self._commit(
             records.Finished(
                 task.id, task.attempt, phase, answer, reason, time.time()
@@ -109,8 +109,8 @@
         )
 
     def _note_end(self, task: tasks.Task, failed: bool) -> None:
-        knowledge = self._context.knowledge
-        verdict = knowledge.note_end(
+        learned_state = self._context.learned_state
+        verdict = learned_state.note_end(
             task, task.instance, failed, time.monotonic()
         )
         if failed:
@@ -123,7 +123,7 @@
                 instance_log_odds=verdict.log_odds,
                 streak=verdict.streak,
                 jobs=verdict.jobs,
-                job_failures=knowledge.tracker.estimate_failures(
+                job_failures=learned_state.tracker.estimate_failures(
                     task.workload
                 ),
             )
@@ -134,7 +134,9 @@
             workload is not None
             and workload.idempotent
             and task.failures + 1 < workload.max_attempts
-            and not self._context.knowledge.tracker.is_to_blame(task.workload)
+            and not self._context.learned_state.tracker.is_job_faulty(
+                task.workload
+            )
         )
         if retry:
             await self.release(task, tasks.FAILED)
--- a/src/persimmonsail/partitioning/holder.py
+++ b/src/persimmonsail/partitioning/holder.py
@@ -52,7 +52,7 @@
         lease: consents.StoreLease,
         process_id: str,
         list_members: ListMembers,
-        knowledge: planner.Knowledge | None = None,
+        learned_state: planner.LearnedState | None = None,
         rate_limiter: turns_module.Turns | None = None,
     ) -> None:
         limits = settings.entry
@@ -69,7 +69,7 @@
         self._process_id = process_id
         self._list_members = list_members
         self._proposed_members: set[records.Member] = set()
-        learned = knowledge or planner.Knowledge()
+        learned = learned_state or planner.LearnedState()
         self._intake = intake.Intake(
             fleet, learned, random.Random(ledger.partition)
         )
--- a/src/persimmonsail/partitioning/holding.py
+++ b/src/persimmonsail/partitioning/holding.py
@@ -54,7 +54,7 @@
     fence: consents.Fence
     task_locks: TaskLocks
     lease_seconds: float
-    knowledge: planner_module.Knowledge
+    learned_state: planner_module.LearnedState
     intake: intake_module.Intake
 
     @property
