--- a/src/persimmonsail/bookkeeping/commits.py
+++ b/src/persimmonsail/bookkeeping/commits.py
@@ -80,7 +80,7 @@
             record was being written.
         """
         if self._closed:
-            raise exceptions.NotCommitted('the partition is being handed over')
+            raise exceptions.NotCommitted('the partition is handed over')
         proposal = _Proposal(record)
         self._proposals.append(proposal)
         self._proposed.set()
@@ -126,14 +126,10 @@
     def _abandon(self, proposal: _Proposal) -> None:
         if proposal in self._proposals:
             self._proposals.remove(proposal)
-            proposal.resolve(
-                exceptions.NotCommitted(
-                    'timed out before the record was written'
-                )
-            )
+            proposal.resolve(exceptions.NotCommitted('the store is slow'))
         else:
             proposal.resolve(
-                exceptions.CommitUnknown('the store did not answer in time')
+                exceptions.CommitUnknown('no answer of the store')
             )
 
     def _pop_group(self) -> list[_Proposal]:
--- a/src/persimmonsail/bookkeeping/tasks.py
+++ b/src/persimmonsail/bookkeeping/tasks.py
@@ -87,9 +87,7 @@
     def find(self, task: str) -> Task:
         """Return a task that a record refers to."""
         if task not in self.tasks:
-            raise exceptions.LedgerCorrupt(
-                f'record refers to unknown task {task}'
-            )
+            raise exceptions.LedgerCorrupt(f'no task {task}')
         return self.tasks[task]
 
 
@@ -122,9 +120,7 @@
 @_apply.register
 def _(record: records.Opened, table: Table) -> None:
     if record.epoch <= table.epoch:
-        raise exceptions.LedgerCorrupt(
-            f'epoch {record.epoch} is not later than the current one'
-        )
+        raise exceptions.LedgerCorrupt(f'epoch {record.epoch} is not new')
     table.epoch = record.epoch
     table.holder = record.holder
 
@@ -153,9 +149,7 @@
     if task.phase is not records.TaskPhase.PENDING:
         raise exceptions.LedgerCorrupt(f'{task.id} claimed in {task.phase}')
     if record.attempt != task.attempt + 1:
-        raise exceptions.LedgerCorrupt(
-            f'{task.id} claimed with a non-consecutive attempt'
-        )
+        raise exceptions.LedgerCorrupt(f'{task.id} skips an attempt')
     task.phase = records.TaskPhase.CLAIMED
     task.attempt = record.attempt
     task.instance = record.instance
@@ -184,9 +178,7 @@
 def _(record: records.Finished, table: Table) -> None:
     task = table.find(record.task)
     if task.is_final or record.attempt != task.attempt:
-        raise exceptions.LedgerCorrupt(
-            f'{task.id} finished twice or for another attempt'
-        )
+        raise exceptions.LedgerCorrupt(f'{task.id} finished out of turn')
     task.phase = record.phase
     task.answer = record.answer
     task.reason = record.reason
--- a/src/persimmonsail/partitioning/holder.py
+++ b/src/persimmonsail/partitioning/holder.py
@@ -194,9 +194,7 @@
         with anyio.move_on_after(seconds):
             while found is not None and not found.is_final:
                 if not self.ready:
-                    raise exceptions.NotHolder(
-                        'the partition is being handed over'
-                    )
+                    raise exceptions.NotHolder('the partition is handed over')
                 await self._committer.changed.wait()
         return found
 
