--- a/src/persimmonsail/callers/__init__.py
+++ b/src/persimmonsail/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side of an entry."""
+"""The caller-facing side of an entry."""
--- a/src/persimmonsail/callers/claims.py
+++ b/src/persimmonsail/callers/claims.py
@@ -1,13 +1,13 @@
-"""Claims of idempotency keys of non-idempotent quick requests.
+"""Claims of idempotency keys for non-idempotent quick requests.
 
-The same key may reach two entries at once. The first to create the
-key's claim in the store decides which attempt on which instance is the
-request's own; the other entry joins that attempt. The instance's
+Two entries may receive the same key concurrently. The first to create
+the key's claim in the store determines the attempt and the instance
+that run the request; the other entry joins that attempt. The instance's
 sidecar then runs it once and answers both.
 
-A claim moves to another attempt only by compare-and-swap, and only
-after its attempt is known not to run. The store forgets claims with
-their lease; no process has to clean up.
+A claim is moved to another attempt only by compare-and-swap, and only
+once its current attempt is known not to run. Claims expire with their
+lease in the store; no process has to clean up.
 """
 
 import dataclasses
@@ -21,18 +21,19 @@
 from persimmonsail import store as store_module
 
 PREFIX = 'claims/'
-KEPT_SECONDS = 600.0
-_LEASE_SHARED = 60.0
-_TRIES = 3
-_PAUSE = 0.05
+CLAIM_TTL_SECONDS = 600.0
+_LEASE_REUSE_SECONDS = 60.0
+_MAX_TRIES = 3
+_RETRY_DELAY_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class Claim:
-    """The attempt that a key stands for.
+    """The attempt assigned to an idempotency key.
 
-    ``joined`` is set once an entry other than its maker may have sent
-    the attempt too; ``fingerprint`` tells requests of one key apart.
+    ``joined`` is set once an entry other than the claim's creator may
+    have sent the attempt too; ``fingerprint`` distinguishes requests
+    that reuse a key.
     """
 
     attempt: str
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class HeldClaim:
-    """A claim and the store's revision of it."""
+    """A claim and its revision in the store."""
 
     claim: Claim
     revision: int
@@ -55,13 +56,13 @@
 _CLAIM = pydantic.TypeAdapter(Claim)
 
 
-def take_fingerprint(body: bytes) -> str:
-    """Return what tells one request body from another."""
+def compute_fingerprint(body: bytes) -> str:
+    """Return a short hash that identifies a request body."""
     return hashlib.sha256(body).hexdigest()[:16]
 
 
 class Claims:
-    """Takes, joins and moves claims in the platform's store."""
+    """Acquires, joins and moves claims in the platform's store."""
 
     def __init__(self, store: store_module.Store) -> None:
         self._store = store
@@ -69,36 +70,36 @@
         self._leased_at = float('-inf')
         self._lock = anyio.Lock()
 
-    async def take(
+    async def acquire(
         self, key: str, claim: Claim, replaced: HeldClaim | None = None
     ) -> HeldClaim:
-        """Make a claim, or join the one that stands.
+        """Create a claim, or join the existing one.
 
         Parameters
         ----------
         key : str
-            What is claimed.
+            The key to claim.
         claim : Claim
             The attempt to claim it for.
         replaced : HeldClaim, optional
-            A claim to move away from; its attempt must not run.
+            The claim to replace; its attempt must be known not to run.
 
         Raises
         ------
         persimmonsail.exceptions.StoreUnavailable
-            If the store gave no answer. Nothing was sent under this
-            claim, so that the request did not run.
+            If the store did not answer. Nothing was sent under this
+            claim, so the request did not run.
         """
         path = f'{PREFIX}{hashlib.sha256(key.encode()).hexdigest()[:32]}'
         expected = replaced.revision if replaced else 0
-        for remaining in reversed(range(_TRIES)):
+        for remaining in reversed(range(_MAX_TRIES)):
             try:
                 return await self._put_or_join(path, claim, expected)
             except (exceptions.StoreUnavailable, exceptions.LeaseExpired):
                 if not remaining:
                     raise
                 self._leased_at = float('-inf')
-                await anyio.sleep(_PAUSE)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
         raise AssertionError('unreachable')
 
     async def _put_or_join(
@@ -115,21 +116,24 @@
             if found is None:
                 expected = 0
                 continue
-            standing = _CLAIM.validate_json(found.value)
-            # The answer to an earlier try may have been lost after it
-            # took effect: then the standing claim is this one.
-            if standing.attempt == claim.attempt or standing.joined:
-                return HeldClaim(standing, found.revision)
-            claim = dataclasses.replace(standing, joined=True)
+            existing_claim = _CLAIM.validate_json(found.value)
+            # The response to an earlier try may have been lost after
+            # the write took effect: then the existing claim is this one.
+            if (
+                existing_claim.attempt == claim.attempt
+                or existing_claim.joined
+            ):
+                return HeldClaim(existing_claim, found.revision)
+            claim = dataclasses.replace(existing_claim, joined=True)
             value = _CLAIM.dump_json(claim).decode()
             expected = found.revision
 
     async def _find_lease(self) -> str:
-        # All claims of a minute share one lease that is never renewed:
-        # one write for each claim, and none to delete it.
+        # Claims made within a minute share one lease that is never
+        # renewed, so each claim costs one write and no deletion.
         async with self._lock:
             age = time.monotonic() - self._leased_at
-            if age > _LEASE_SHARED:
-                self._lease = await self._store.grant_lease(KEPT_SECONDS)
+            if age > _LEASE_REUSE_SECONDS:
+                self._lease = await self._store.grant_lease(CLAIM_TTL_SECONDS)
                 self._leased_at = time.monotonic()
             return self._lease
--- a/src/persimmonsail/callers/entry.py
+++ b/src/persimmonsail/callers/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: callers' requests, and partitions of the ledger."""
+"""The entry role: serves callers and holds ledger partitions."""
 
 import contextlib
 import hashlib
@@ -41,15 +41,15 @@
 from persimmonsail import shutdown
 from persimmonsail import store as store_module
 
-_RETRY_AFTER = 2.0
-_KEY_LENGTH = 24
-_LINK_SILENCES = 2
-_FRESHNESS_PERIOD = 0.1
-_REFRESH_SECONDS = 0.5
+_RETRY_AFTER_SECONDS = 2.0
+_DIGEST_LENGTH = 24
+_LINK_TIMEOUT_SILENCES = 2
+_FRESHNESS_CHECK_SECONDS = 0.1
+_REFRESH_TIMEOUT_SECONDS = 0.5
 
 
 class Entry(control_grpc.EntryBase):
-    """One entry instance; use inside ``async with``."""
+    """One entry process; use inside ``async with``."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
@@ -62,7 +62,7 @@
         self.leaving = False
         self._warm_at = time.monotonic() + settings.entry.warmup
         self.stop = shutdown.Stop()
-        self.last_stop = shutdown.Stop()
+        self.final_stop = shutdown.Stop()
         self.calls = shutdown.Calls()
         self.store = _open_store(settings.store)
         self.turns = turns.Turns(settings.entry.commit_interval)
@@ -88,17 +88,17 @@
         self.tasks = forwarding.TaskForwarder(self)
 
     async def __aenter__(self) -> 'Entry':
-        self._owned = contextlib.AsyncExitStack()
-        self._owned.push_async_callback(self.store.close)
-        self._owned.enter_context(self.links)
-        await self._owned.enter_async_context(self.quick)
+        self._exit_stack = contextlib.AsyncExitStack()
+        self._exit_stack.push_async_callback(self.store.close)
+        self._exit_stack.enter_context(self.links)
+        await self._exit_stack.enter_async_context(self.quick)
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     def open_partitions(self, control: str) -> None:
-        """Prepare to hold partitions under this control address."""
+        """Set up partitions and peers under this control address."""
         self.partitions = partitions_module.Partitions(
             self.store, self.settings, control, self._make_holder
         )
@@ -110,55 +110,59 @@
         )
         self.view.witness = self.peers.find_agreement
 
-    async def follow_catalogue(self) -> None:
-        """Keep the catalogue's view up to date, until cancelled."""
+    async def run_catalogue_updates(self) -> None:
+        """Keep the catalogue view up to date until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(looplag.watch)
             group.start_soon(self.follower.run)
             group.start_soon(self.peers.run)
             group.start_soon(
-                revisions.watch_freshness, self.view, _FRESHNESS_PERIOD
+                revisions.watch_freshness, self.view, _FRESHNESS_CHECK_SECONDS
             )
 
     def check_serving(self) -> None:
-        """Refuse work that this entry may not admit now.
+        """Raise if this entry may not admit work now.
 
         Raises
         ------
         persimmonsail.problems.Problem
-            If the entry has no catalogue, or can't show that its
-            catalogue is the newest. A stopping entry still serves what
-            reaches it before its listener closes.
+            If the entry has no catalogue, or cannot confirm that its
+            catalogue is the latest. A stopping entry still serves
+            requests that arrive before its listener closes.
         """
-        reason = self.find_unready() and self._find_unserving()
+        reason = self.find_unready() and self._find_catalogue_problem()
         if reason:
             raise problems.Problem(
-                503, 'Not ready', problems.NOT_RUN, reason, _RETRY_AFTER
+                503,
+                'Not ready',
+                problems.NOT_RUN,
+                reason,
+                _RETRY_AFTER_SECONDS,
             )
 
     def find_unready(self) -> str:
-        """Return why callers should go elsewhere; empty if ready."""
+        """Return why this entry is not ready; empty if it is."""
         if self.leaving:
             return 'the entry is stopping'
         if not self.fleet.list_live() and time.monotonic() < self._warm_at:
-            # Its sidecars learn of a fresh entry within a few reports;
-            # ready before that, it would refuse all quick requests.
+            # Sidecars discover a new entry within a few reports; if it
+            # were ready earlier, it would refuse all quick requests.
             return 'no backend server has announced itself yet'
-        return self._find_unserving()
+        return self._find_catalogue_problem()
 
-    def _find_unserving(self) -> str:
+    def _find_catalogue_problem(self) -> str:
         if not self.view.revision:
             return 'no catalogue is known'
         return self.view.find_staleness()
 
-    def name_task(self, workload: str, key: str) -> str:
-        """Return the task that an idempotency key stands for."""
+    def make_task_id(self, workload: str, key: str) -> str:
+        """Return the task id derived from an idempotency key."""
         limits = self.view.catalogue.workloads[workload]
         partition = partitions_module.find_partition(
             limits.owner, self.settings.entry.partitions
         )
         text = f'{limits.owner}/{workload}/{key}'
-        digest = hashlib.sha256(text.encode()).hexdigest()[:_KEY_LENGTH]
+        digest = hashlib.sha256(text.encode()).hexdigest()[:_DIGEST_LENGTH]
         return f'{partition:03d}-{digest}'
 
     def _make_holder(
@@ -181,38 +185,38 @@
         )
 
     async def Link(self, stream) -> None:
-        """Take a sidecar's reports in, and answer each."""
+        """Receive a sidecar's reports and answer each with a notice."""
         with self.calls.track():
-            await self.last_stop.run_until_begun(self._follow_link, stream)
+            await self.final_stop.run_until_begun(self._serve_link, stream)
 
-    async def _follow_link(self, stream) -> None:
-        # A sidecar's link can go silent for good; its sidecar connects
-        # anew, and this end must not be kept for ever.
-        silence = _LINK_SILENCES * self.settings.links.silence
-        told = -1
+    async def _serve_link(self, stream) -> None:
+        # A link can go silent permanently; its sidecar then reconnects,
+        # so this end is closed after a timeout.
+        timeout = _LINK_TIMEOUT_SILENCES * self.settings.links.silence
+        sent_revision = -1
         while True:
-            with anyio.move_on_after(silence):
+            with anyio.move_on_after(timeout):
                 report = await stream.recv_message()
                 if report is None:
                     return
-                notice = await self._note_report(report, told)
+                notice = await self._handle_report(report, sent_revision)
                 await stream.send_message(notice)
-                told = notice.revision
+                sent_revision = notice.revision
                 continue
             logs.write_event('link-silent', address='a sidecar')
             return
 
-    async def _note_report(
-        self, report: control_pb2.SidecarReport, told: int
+    async def _handle_report(
+        self, report: control_pb2.SidecarReport, sent_revision: int
     ) -> control_pb2.EntryNotice:
-        known = self.fleet.find(report.instance)
-        incarnation = known.incarnation if known else ''
-        was_leaving = known is not None and _is_leaving(known)
+        previous = self.fleet.find(report.instance)
+        incarnation = previous.incarnation if previous else ''
+        was_leaving = previous is not None and _is_leaving(previous)
         if incarnation != report.incarnation:
-            # A started sidecar admits nothing before it has evidence
-            # that is younger than itself.
-            await self.follower.refresh(_REFRESH_SECONDS)
-        found = self.fleet.note_report(report)
+            # A newly started sidecar admits nothing until it has
+            # evidence that is newer than its own start.
+            await self.follower.refresh(_REFRESH_TIMEOUT_SECONDS)
+        instance = self.fleet.note_report(report)
         if incarnation != report.incarnation:
             logs.write_event(
                 'announced',
@@ -220,7 +224,7 @@
                 incarnation=report.incarnation,
                 service=report.service,
             )
-        if _is_leaving(found) != was_leaving:
+        if _is_leaving(instance) != was_leaving:
             event = 'serving' if was_leaving else 'leaving'
             logs.write_event(event, instance=report.instance)
         entries = [e.control for e in self.partitions.entries.values()]
@@ -231,7 +235,7 @@
             fresh=self.view.is_fresh,
             evidence_age_seconds=time.monotonic() - self.view.evidence_at,
         )
-        if told != self.view.revision:
+        if sent_revision != self.view.revision:
             objectives.fill_notice(notice, self.view.catalogue, report.service)
         return notice
 
@@ -247,25 +251,25 @@
         with self.calls.track():
             reply = await self.stop.wait_unless_begun(
                 lambda seconds: self.tasks.query_here(
-                    _limit(request, seconds)
+                    _copy_with_wait(request, seconds)
                 ),
                 request.wait_seconds,
             )
             await stream.send_message(reply)
 
     async def Cancel(self, stream) -> None:
-        """End a task of a partition held here."""
+        """Cancel a task of a partition held here."""
         request = await stream.recv_message()
         with self.calls.track():
             await stream.send_message(await self.tasks.cancel_here(request))
 
     async def Status(self, stream) -> None:
-        """Tell an operator how this entry stands."""
+        """Report this entry's status to an operator."""
         await stream.recv_message()
         await stream.send_message(status.describe_entry(self))
 
     async def Peer(self, stream) -> None:
-        """Tell another entry the catalogue in force here."""
+        """Report the catalogue in force here to another entry."""
         query = await stream.recv_message()
         reply = control_pb2.PeerReply(
             entry=self.settings.process.name,
@@ -282,7 +286,7 @@
     return instance.leaving or instance.backend_leaving
 
 
-def _limit(
+def _copy_with_wait(
     request: control_pb2.TaskQuery, seconds: float
 ) -> control_pb2.TaskQuery:
     return control_pb2.TaskQuery(
@@ -324,7 +328,7 @@
                     logs.write_event(
                         'listening', control=control, http=http.address
                     )
-                    group.start_soon(entry.follow_catalogue)
+                    group.start_soon(entry.run_catalogue_updates)
                     group.start_soon(entry.partitions.run)
                     await anext(aiter(signals))
                     logs.write_event('stopping')
@@ -332,7 +336,7 @@
                     await anyio.sleep(settings.entry.notice)
                     entry.stop.begun.set()
                 await entry.partitions.leave()
-                entry.last_stop.begun.set()
+                entry.final_stop.begun.set()
                 with anyio.move_on_after(drain):
                     await entry.calls.wait_idle()
                 group.cancel_scope.cancel()
--- a/src/persimmonsail/callers/gateway.py
+++ b/src/persimmonsail/callers/gateway.py
@@ -32,7 +32,7 @@
 
 
 class RequestHeaders(pydantic.BaseModel):
-    """The headers of a caller's request that have a meaning here."""
+    """The request headers that the gateway interprets."""
 
     model_config = pydantic.ConfigDict(extra='ignore')
 
@@ -47,9 +47,9 @@
 
     @property
     def wait_seconds(self) -> float:
-        """Seconds to wait for a task's end, from ``Prefer: wait=N``.
+        """Seconds to wait for a task to end, from ``Prefer: wait=N``.
 
-        A preference that can't be read is ignored, as RFC 7240 has it.
+        Malformed preferences are ignored, as RFC 7240 requires.
         """
         for preference in self.prefer.split(','):
             name, _, value = preference.partition('=')
@@ -61,14 +61,14 @@
 _Handler = t.Callable[..., t.Awaitable[responses.Response]]
 
 
-def _measure(handler: _Handler) -> _Handler:
-    """Record the time from a request to its final answer."""
+def _record_duration(handler: _Handler) -> _Handler:
+    """Record the time from a request to its final response."""
 
     @functools.wraps(handler)
     async def handle(
         gateway: 'Gateway', request: requests.Request
     ) -> responses.Response:
-        begun = time.monotonic()
+        started_at = time.monotonic()
         outcome = 'cut-off'
         try:
             response = await handler(gateway, request)
@@ -78,7 +78,7 @@
             outcome = problem.work
             raise
         finally:
-            seconds = time.monotonic() - begun
+            seconds = time.monotonic() - started_at
             workload = gateway.find_workload(request)
             metrics.REQUEST_SECONDS.record(seconds, workload, outcome)
 
@@ -116,36 +116,36 @@
         )
 
     def find_workload(self, request: requests.Request) -> str:
-        """Return the catalogue's name of what a request asks for."""
+        """Return a request's workload; ``none`` if it is unknown."""
         name = request.path_params['name']
-        known = name in self._entry.view.catalogue.workloads
-        return name if known else _UNKNOWN_WORKLOAD
+        is_known = name in self._entry.view.catalogue.workloads
+        return name if is_known else _UNKNOWN_WORKLOAD
 
     async def _respond_problem(
         self, request: requests.Request, problem: problems.Problem
     ) -> responses.Response:
-        number = getattr(request.state, 'number', '')
+        request_id = getattr(request.state, 'number', '')
         logs.write_event(
             'refusal',
-            request=number,
+            request=request_id,
             task=getattr(request.state, 'task', ''),
             status=problem.status,
             work=problem.work,
             reason=problem.detail,
             retry_after=problem.retry_after,
         )
-        return answers.respond_problem(problem, number)
+        return answers.respond_problem(problem, request_id)
 
     async def _respond_error(
         self, request: requests.Request, error: Exception
     ) -> responses.Response:
-        number = getattr(request.state, 'number', '')
+        request_id = getattr(request.state, 'number', '')
         logs.write_error(
-            'request-error', request=number, **tracebacks.describe(error)
+            'request-error', request=request_id, **tracebacks.describe(error)
         )
-        return answers.respond_error(error, number)
+        return answers.respond_error(error, request_id)
 
-    @_measure
+    @_record_duration
     async def _post_request(
         self, request: requests.Request
     ) -> responses.Response:
@@ -210,24 +210,26 @@
     ) -> responses.Response:
         _check_payload(body)
         key = headers.idempotency_key or request.state.number
-        task = self._entry.name_task(name, key)
+        task = self._entry.make_task_id(name, key)
         request.state.task = task
         reply = await self._entry.tasks.submit(task, name, body, timeout)
         status = 202
         if headers.wait_seconds:
-            ended = await self._wait_accepted(task, headers.wait_seconds)
-            if ended is not None:
-                reply, status = ended, 200
-        _note_task_answer(request.state.number, task, reply)
+            final_reply = await self._wait_after_accept(
+                task, headers.wait_seconds
+            )
+            if final_reply is not None:
+                reply, status = final_reply, 200
+        _log_task_answer(request.state.number, task, reply)
         response = _respond_task(task, reply, status)
         response.headers['location'] = f'/v1/tasks/{task}'
         return response
 
-    async def _wait_accepted(
+    async def _wait_after_accept(
         self, task: str, seconds: float
     ) -> control_pb2.TaskReply | None:
-        # The task is accepted: a problem while waiting must not reach
-        # the caller as one of the work, who would send it again.
+        # The task is already accepted. A failure of the wait must not be
+        # reported as one of the work: the caller would resubmit it.
         try:
             reply = await self._wait_task(task, seconds)
         except problems.Problem:
@@ -238,14 +240,15 @@
         self, task: str, seconds: float
     ) -> control_pb2.TaskReply:
         return await self._entry.stop.wait_unless_begun(
-            lambda left: self._entry.tasks.query(task, left), seconds
+            lambda remaining: self._entry.tasks.query(task, remaining),
+            seconds,
         )
 
     async def _get_task(self, request: requests.Request) -> responses.Response:
         task = request.path_params['task']
         wait = _read_wait(request)
         reply = await self._wait_task(task, wait)
-        _note_task_answer('', task, reply)
+        _log_task_answer('', task, reply)
         return _respond_task(task, reply)
 
     async def _delete_task(
@@ -289,7 +292,7 @@
 
 def _check_payload(body: bytes) -> None:
     try:
-        # The ledger keeps the payload as text.
+        # The ledger stores payloads as text.
         json.loads(body.decode() or '{}')
     except (ValueError, RecursionError) as error:
         raise problems.Problem(
@@ -310,7 +313,7 @@
     return min(max(wait, 0.0), MAX_WAIT_SECONDS)
 
 
-def _note_task_answer(
+def _log_task_answer(
     request: str, task: str, reply: control_pb2.TaskReply
 ) -> None:
     logs.write_event(
--- a/src/persimmonsail/callers/gauges.py
+++ b/src/persimmonsail/callers/gauges.py
@@ -1,4 +1,4 @@
-"""What an entry shows of its present state among its metrics."""
+"""Gauges of an entry's current state."""
 
 import typing as t
 
@@ -6,7 +6,7 @@
 
 
 def make_gauges(entry: t.Any) -> tuple[metrics.Gauge, ...]:
-    """Return the gauges that read one entry when somebody asks."""
+    """Return gauges that read an entry's state when scraped."""
     return (
         metrics.Gauge(
             'persimmonsail_catalogue_revision',
--- a/src/persimmonsail/callers/quick.py
+++ b/src/persimmonsail/callers/quick.py
@@ -1,4 +1,4 @@
-"""The way of a quick request from an entry to a backend server."""
+"""Dispatch of quick requests from an entry to backend servers."""
 
 import contextlib
 import random
@@ -25,10 +25,10 @@
 from persimmonsail.sidecars import backends
 
 _MAX_ATTEMPTS = 4
-_RETRY_AFTER = 1.0
-# These say that an instance changed, not that it is overloaded: another
-# try costs no more than the first one would have.
-_NOT_LOAD = frozenset(
+_RETRY_AFTER_SECONDS = 1.0
+# Reasons that report a changed instance rather than overload: a retry
+# costs no more than the first attempt would have, so it uses no budget.
+_NOT_OVERLOAD_REASONS = frozenset(
     (
         'leaving',
         'the backend server is leaving',
@@ -39,7 +39,7 @@
         'not connected',
     )
 )
-_NOT_BARRED = frozenset(
+_NOT_BARRED_REASONS = frozenset(
     ('other incarnation', 'issued too long ago', 'not connected')
 )
 
@@ -70,21 +70,21 @@
         self._shedder = shedder or shedding.Shedder(fleet, generator)
         self._budget = retries.POLICIES['fraction']()
         self._hedging = hedging.POLICIES['percentile']()
-        self._replays = replays_module.Replays()
+        self._replays = replays_module.ReplayCache()
         self._sender = sending.Sender(fleet, links, view, self._hedging)
 
     async def __aenter__(self) -> 'QuickPath':
-        self._owned = contextlib.AsyncExitStack()
-        await self._owned.enter_async_context(self._sender)
+        self._exit_stack = contextlib.AsyncExitStack()
+        await self._exit_stack.enter_async_context(self._sender)
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     async def send(
         self, request: sending.QuickRequest
     ) -> control_pb2.ExecuteReply:
-        """Return the whole answer.
+        """Send a request and return its complete answer.
 
         Raises
         ------
@@ -94,7 +94,7 @@
         if not request.key:
             with self._shedder.admit(request):
                 return await self._send_once(request)
-        fingerprint = claims_module.take_fingerprint(request.body)
+        fingerprint = claims_module.compute_fingerprint(request.body)
         key = f'{request.limits.owner}/{request.workload}/{request.key}'
 
         async def send_first() -> control_pb2.ExecuteReply:
@@ -121,20 +121,20 @@
                 metrics.RETRIES.increase(request.workload)
             tried.add(instance.name)
             if reason := self._view.find_staleness():
-                refusals.append(_describe_stale(reason))
+                refusals.append(_make_stale_reply(reason))
                 break
-            reply = await self._race(request, instance, tried)
+            reply = await self._send_hedged(request, instance, tried)
             if reply.verdict == control_pb2.ANSWERED:
                 self._budget.note_success()
                 return reply
             if reply.verdict != control_pb2.NOT_RUN:
                 if not request.limits.idempotent:
-                    raise _outcome_unknown(reply.reason)
+                    raise _make_unknown(reply.reason)
                 may_have_run = True
             refusals.append(reply)
         if may_have_run:
-            raise _outcome_unknown(refusals[-1].reason)
-        raise _not_run(refusals)
+            raise _make_unknown(refusals[-1].reason)
+        raise _make_not_run(refusals)
 
     def _choose_next(
         self,
@@ -148,69 +148,70 @@
         return instance if request.left > 0 else None
 
     def _may_retry(self, reply: control_pb2.ExecuteReply) -> bool:
-        free = (
-            reply.verdict == control_pb2.NOT_RUN and reply.reason in _NOT_LOAD
+        is_free = (
+            reply.verdict == control_pb2.NOT_RUN
+            and reply.reason in _NOT_OVERLOAD_REASONS
         )
-        return free or self._budget.spend()
+        return is_free or self._budget.spend()
 
     async def _send_claimed(
         self, request: sending.QuickRequest, key: str, fingerprint: str
     ) -> control_pb2.ExecuteReply:
         tried: set[str] = set()
         refusals: list[control_pb2.ExecuteReply] = []
-        replaced = None
+        previous = None
         for _ in range(_MAX_ATTEMPTS):
             instance = self._choose_next(request, tried, refusals)
             if instance is None:
                 break
             tried.add(instance.name)
-            wanted = sending.make_claim(instance, fingerprint)
+            proposed = sending.make_claim(instance, fingerprint)
             if reason := self._view.find_staleness():
-                refusals.append(_describe_stale(reason))
+                refusals.append(_make_stale_reply(reason))
                 break
-            held = await self._take_claim(key, wanted, replaced)
-            if held.claim.fingerprint != fingerprint:
+            stored = await self._acquire_claim(key, proposed, previous)
+            if stored.claim.fingerprint != fingerprint:
                 raise problems.Problem(
                     422, 'Key reused', problems.NOT_RUN, 'another body'
                 )
-            reply = await self._sender.attempt(request, held.claim)
+            reply = await self._sender.attempt(request, stored.claim)
             if reply.verdict == control_pb2.ANSWERED:
                 return reply
             if reply.verdict != control_pb2.NOT_RUN:
-                raise _outcome_unknown(reply.reason)
+                raise _make_unknown(reply.reason)
             refusals.append(reply)
-            replaced = held
-        if refusals and refusals[-1].reason in _NOT_BARRED:
-            # Another entry may have joined the claim and have sent the
-            # attempt meanwhile; only a barred attempt is sure not to run.
-            raise _outcome_unknown(refusals[-1].reason)
-        raise _not_run(refusals)
+            previous = stored
+        if refusals and refusals[-1].reason in _NOT_BARRED_REASONS:
+            # Another entry may have joined the claim and sent the attempt
+            # in the meantime; only a barred attempt is certain not to run.
+            raise _make_unknown(refusals[-1].reason)
+        raise _make_not_run(refusals)
 
-    async def _take_claim(
+    async def _acquire_claim(
         self,
         key: str,
-        wanted: claims_module.Claim,
-        replaced: claims_module.HeldClaim | None,
+        proposed: claims_module.Claim,
+        previous: claims_module.HeldClaim | None,
     ) -> claims_module.HeldClaim:
         try:
-            return await self._claims.take(key, wanted, replaced)
+            return await self._claims.acquire(key, proposed, previous)
         except exceptions.StoreError as error:
             raise problems.Problem(
                 503,
                 'Not run',
                 problems.NOT_RUN,
                 f'the key can not be claimed: {error}',
-                _RETRY_AFTER,
+                _RETRY_AFTER_SECONDS,
             ) from error
 
     def _choose(
         self, request: sending.QuickRequest, tried: set[str]
     ) -> fleet_module.Instance | None:
         live = self._fleet.list_live(request.limits.service)
-        fresh = [instance for instance in live if instance.name not in tried]
-        if not fresh:
+        untried = [instance for instance in live if instance.name not in tried]
+        if not untried:
             return None
-        cost = self._router.choose(fresh, request.workload, self._zone)
+        cost = self._router.choose(untried, request.workload, self._zone)
         chosen = cost.instance
         logs.write_event(
             'routing',
@@ -223,19 +224,19 @@
             outstanding=chosen.outstanding,
             queued=chosen.queued,
             busy_slots=chosen.busy_slots,
-            candidates=len(fresh),
+            candidates=len(untried),
             refused=','.join(sorted(tried)) or '-',
             revision=self._view.revision,
         )
         return chosen
 
-    async def _race(
+    async def _send_hedged(
         self,
         request: sending.QuickRequest,
         first: fleet_module.Instance,
         tried: set[str],
     ) -> control_pb2.ExecuteReply:
-        """Send an attempt, and a second one if the first is late."""
+        """Send an attempt, and hedge it if the answer is late."""
         delay = None
         if request.limits.idempotent:
             delay = self._hedging.find_delay(request.workload)
@@ -254,13 +255,15 @@
         with send, receive:
             async with anyio.create_task_group() as group:
                 group.start_soon(run, first)
-                legs = 1
+                attempt_count = 1
                 reply = None
                 with anyio.move_on_after(delay):
                     reply = await receive.receive()
                 if reply is None:
-                    legs += self._start_hedge(request, tried, group, run)
-                    reply = await self._receive_best(receive, legs)
+                    attempt_count += self._start_hedge(
+                        request, tried, group, run
+                    )
+                    reply = await self._receive_best(receive, attempt_count)
                 group.cancel_scope.cancel()
         return reply
 
@@ -275,30 +278,34 @@
         group.start_soon(run, second)
         return 1
 
-    async def _receive_best(self, receive, legs) -> control_pb2.ExecuteReply:
-        worst = None
-        for _ in range(legs):
+    async def _receive_best(
+        self, receive, attempt_count
+    ) -> control_pb2.ExecuteReply:
+        failure = None
+        for _ in range(attempt_count):
             reply = await receive.receive()
             if reply.verdict == control_pb2.ANSWERED:
                 return reply
-            if worst is None or reply.verdict != control_pb2.NOT_RUN:
-                worst = reply
-        return worst
+            if failure is None or reply.verdict != control_pb2.NOT_RUN:
+                failure = reply
+        return failure
 
 
-def _outcome_unknown(reason: str) -> problems.Problem:
+def _make_unknown(reason: str) -> problems.Problem:
     return problems.Problem(504, 'Outcome unknown', problems.UNKNOWN, reason)
 
 
-def _describe_stale(reason: str) -> control_pb2.ExecuteReply:
+def _make_stale_reply(reason: str) -> control_pb2.ExecuteReply:
     return control_pb2.ExecuteReply(verdict=control_pb2.NOT_RUN, reason=reason)
 
 
-def _not_run(refusals: list[control_pb2.ExecuteReply]) -> problems.Problem:
+def _make_not_run(
+    refusals: list[control_pb2.ExecuteReply],
+) -> problems.Problem:
     if not refusals:
         reason = 'no backend server is known'
         return problems.Problem(
-            503, 'Not run', problems.NOT_RUN, reason, _RETRY_AFTER
+            503, 'Not run', problems.NOT_RUN, reason, _RETRY_AFTER_SECONDS
         )
     waits = [r.retry_after_seconds for r in refusals if r.retry_after_seconds]
     return problems.Problem(
@@ -306,5 +313,5 @@
         'Not run',
         problems.NOT_RUN,
         refusals[-1].reason,
-        min(waits, default=_RETRY_AFTER),
+        min(waits, default=_RETRY_AFTER_SECONDS),
     )
--- a/src/persimmonsail/callers/replays.py
+++ b/src/persimmonsail/callers/replays.py
@@ -1,4 +1,4 @@
-"""Answers kept for callers that repeat an idempotency key."""
+"""Cached answers for callers that repeat an idempotency key."""
 
 import collections
 import dataclasses
@@ -10,30 +10,30 @@
 from persimmonsail import control_pb2
 from persimmonsail import problems
 
-_KEPT_SECONDS = 60.0
-_KEPT_ANSWERS = 1024
-_KEPT_BYTES = 4_000_000
-_REUSED = 'the key was used before with another body'
+_RETENTION_SECONDS = 60.0
+_MAX_ANSWERS = 1024
+_MAX_BYTES = 4_000_000
+_KEY_REUSED = 'the key was used before with another body'
 
 
 @dataclasses.dataclass
 class _Replay:
     fingerprint: str
-    began_at: float
+    started_at: float
     ended: anyio.Event = dataclasses.field(default_factory=anyio.Event)
     reply: control_pb2.ExecuteReply | None = None
     problem: problems.Problem | None = None
 
 
-class Replays:
-    """Runs one request for each key; repetitions get its answer."""
+class ReplayCache:
+    """Sends one request per key; repeats receive its answer."""
 
     def __init__(
         self,
-        kept_seconds: float = _KEPT_SECONDS,
+        retention_seconds: float = _RETENTION_SECONDS,
         clock: t.Callable[[], float] = time.monotonic,
     ) -> None:
-        self._kept_seconds = kept_seconds
+        self._retention_seconds = retention_seconds
         self._clock = clock
         self._bytes = 0
         self._replays: collections.OrderedDict[str, _Replay] = (
@@ -47,37 +47,38 @@
         send: t.Callable[[], t.Awaitable[control_pb2.ExecuteReply]],
         deadline: float,
     ) -> control_pb2.ExecuteReply:
-        """Return the key's answer, sending its request if it is new.
+        """Return a key's answer, sending the request if it is new.
 
         Parameters
         ----------
         key : str
-            The idempotency key with owner and workload.
+            The idempotency key, qualified by owner and workload.
         fingerprint : str
-            What tells this request's body from others'.
+            Identifies the request's body.
         send : callable
             Sends the request.
         deadline : float
-            Monotonic seconds until which to wait for another's answer.
+            Monotonic seconds until which to wait for the answer to an
+            earlier request with the same key.
 
         Raises
         ------
         persimmonsail.problems.Problem
             If the request is refused, or its outcome is unknown.
         """
-        self._forget_old()
+        self._evict_expired()
         found = self._replays.get(key)
         if found is None:
             return await self._run_first(key, fingerprint, send)
         if found.fingerprint != fingerprint:
             raise problems.Problem(
-                422, 'Key reused', problems.NOT_RUN, _REUSED
+                422, 'Key reused', problems.NOT_RUN, _KEY_REUSED
             )
         with anyio.move_on_after(max(deadline - time.monotonic(), 0)):
             await found.ended.wait()
         if found.reply is not None:
             return found.reply
-        raise found.problem or _unknown('still running at the deadline')
+        raise found.problem or _make_unknown('still running at the deadline')
 
     async def _run_first(
         self,
@@ -97,17 +98,17 @@
         finally:
             replay.ended.set()
             if replay.reply is None:
-                # Not run, or unknown to this entry only: a repetition
-                # may do better than the first.
+                # Not run, or unknown to this entry only: a repeat may
+                # succeed where the first request did not.
                 self._replays.pop(key, None)
 
-    def _forget_old(self) -> None:
-        oldest = self._clock() - self._kept_seconds
+    def _evict_expired(self) -> None:
+        oldest = self._clock() - self._retention_seconds
         for key, replay in list(self._replays.items()):
-            over = (
-                len(self._replays) > _KEPT_ANSWERS or self._bytes > _KEPT_BYTES
+            over_limit = (
+                len(self._replays) > _MAX_ANSWERS or self._bytes > _MAX_BYTES
             )
-            if replay.began_at >= oldest and not over:
+            if replay.started_at >= oldest and not over_limit:
                 return
             if replay.reply is None:
                 continue
@@ -115,5 +116,5 @@
             del self._replays[key]
 
 
-def _unknown(reason: str) -> problems.Problem:
+def _make_unknown(reason: str) -> problems.Problem:
     return problems.Problem(504, 'Outcome unknown', problems.UNKNOWN, reason)
--- a/src/persimmonsail/callers/sending.py
+++ b/src/persimmonsail/callers/sending.py
@@ -1,4 +1,4 @@
-"""One attempt at a quick request on one instance, followed to its end."""
+"""Attempts at quick requests, each tracked until its outcome is known."""
 
 import contextlib
 import dataclasses
@@ -21,17 +21,18 @@
 from persimmonsail import logs
 from persimmonsail import metrics
 
-# What an idempotent request's lost answer may take until it is sent anew.
-_SETTLE_IDEMPOTENT = 0.5
-# The sidecar gives up earlier than the caller by this part of the time that
-# is left, and by so many seconds at the most.
-_MARGIN = 0.1
-_MAX_MARGIN = 0.25
+# How long to settle the lost answer of an idempotent request before it is
+# sent again.
+_IDEMPOTENT_SETTLE_SECONDS = 0.5
+# The sidecar's timeout is shorter than the caller's by this fraction of the
+# remaining time, up to the maximum.
+_MARGIN_FRACTION = 0.1
+_MAX_MARGIN_SECONDS = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class QuickRequest:
-    """A caller's quick request; the deadline is monotonic seconds."""
+    """A caller's quick request; ``deadline`` is in monotonic seconds."""
 
     id: str
     workload: str
@@ -50,7 +51,7 @@
 def make_claim(
     instance: fleet_module.Instance, fingerprint: str = ''
 ) -> claims_module.Claim:
-    """Return the claim of a new attempt on an instance."""
+    """Return the claim for a new attempt on an instance."""
     return claims_module.Claim(
         attempt=uuid.uuid4().hex,
         instance=instance.name,
@@ -67,13 +68,13 @@
     Parameters
     ----------
     fleet : persimmonsail.decisions.fleet.Fleet
-        Counts what is outstanding, and learns from each reply.
+        Counts outstanding attempts and records each reply.
     links : persimmonsail.links.Links
-        To the sidecars.
+        Connections to the sidecars.
     view : persimmonsail.catalogues.revisions.View
         The catalogue in force.
     hedging : persimmonsail.decisions.hedging.Hedging
-        Learns how long answers take.
+        Records the latencies of answers.
     """
 
     def __init__(
@@ -90,30 +91,33 @@
         self._settler = settlement.Settler(links)
 
     async def __aenter__(self) -> 'Sender':
-        self._owned = contextlib.AsyncExitStack()
-        self._group = await self._owned.enter_async_context(
+        self._exit_stack = contextlib.AsyncExitStack()
+        self._group = await self._exit_stack.enter_async_context(
             anyio.create_task_group()
         )
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
         self._group.cancel_scope.cancel()
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     async def attempt(
         self, request: QuickRequest, claim: claims_module.Claim
     ) -> control_pb2.ExecuteReply:
-        """Send one attempt and return its outcome, also a lost answer's."""
-        message = self._describe(request, claim)
+        """Send an attempt and return its outcome.
+
+        An attempt whose answer was lost is settled with its sidecar.
+        """
+        message = self._make_message(request, claim)
         instance = self._fleet.find(claim.instance)
         if instance is not None:
             instance.outstanding += 1
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             reply = await self._call(request, message, claim)
         except anyio.get_cancelled_exc_class():
-            # The loser of a hedge must not hold a slot for an answer
-            # that nobody reads.
+            # The slower attempt of a hedged pair must not occupy a slot
+            # for an answer that is discarded.
             if request.limits.idempotent:
                 self._group.start_soon(
                     self._settler.cancel, message, claim.address
@@ -124,7 +128,7 @@
                 instance.outstanding -= 1
         metrics.ATTEMPTS.increase(control_pb2.Verdict.Name(reply.verdict))
         if reply.verdict == control_pb2.ANSWERED:
-            seconds = time.monotonic() - began
+            seconds = time.monotonic() - started_at
             self._hedging.note_latency(request.workload, seconds)
         self._fleet.note_reply(claim.instance, claim.incarnation, reply)
         return reply
@@ -155,17 +159,19 @@
             logs.write_event('answer-lost', attempt=claim.attempt, error=error)
         deadline = request.deadline
         if request.limits.idempotent:
-            deadline = min(deadline, time.monotonic() + _SETTLE_IDEMPOTENT)
+            deadline = min(
+                deadline, time.monotonic() + _IDEMPOTENT_SETTLE_SECONDS
+            )
         return await self._settler.settle(message, claim.address, deadline)
 
-    def _describe(
+    def _make_message(
         self, request: QuickRequest, claim: claims_module.Claim
     ) -> control_pb2.ExecuteRequest:
         limits = request.limits
-        left = max(request.left, 0)
-        # The sidecar gives up a little earlier, so that its verdict is
-        # here when the caller's deadline comes.
-        margin = min(left * _MARGIN, _MAX_MARGIN)
+        remaining = max(request.left, 0)
+        # The sidecar times out slightly earlier, so that its verdict
+        # arrives before the caller's deadline.
+        margin = min(remaining * _MARGIN_FRACTION, _MAX_MARGIN_SECONDS)
         return control_pb2.ExecuteRequest(
             attempt=claim.attempt,
             request=request.id,
@@ -178,7 +184,7 @@
                 memory_gb=limits.memory_gb,
                 accelerators=limits.accelerators,
             ),
-            timeout_seconds=left - margin,
+            timeout_seconds=remaining - margin,
             idempotent=limits.idempotent,
             urgent=limits.urgent,
             body=request.body,
--- a/src/persimmonsail/callers/settlement.py
+++ b/src/persimmonsail/callers/settlement.py
@@ -1,7 +1,7 @@
 """Settlement of attempts whose answers were lost or are late.
 
-The sidecar returns an attempt's outcome, or bars it for ever and only
-then says that it did not run.
+The sidecar returns an attempt's outcome, or bars the attempt
+permanently before it reports that the attempt did not run.
 """
 
 import time
@@ -14,14 +14,14 @@
 from persimmonsail import links as links_module
 from persimmonsail import logs
 
-_CALL_SECONDS = 1.0
-_WAIT_SECONDS = 0.5
-_PAUSE_SECONDS = 0.1
-_CANCEL_SECONDS = 1.0
+_CALL_TIMEOUT_SECONDS = 1.0
+_MAX_WAIT_SECONDS = 0.5
+_RETRY_DELAY_SECONDS = 0.1
+_CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 class Settler:
-    """Settles attempts over fresh links."""
+    """Settles attempts over new links."""
 
     def __init__(self, links: links_module.Links) -> None:
         self._links = links
@@ -34,41 +34,42 @@
     ) -> control_pb2.ExecuteReply:
         """Return an attempt's outcome; unknown at the deadline.
 
-        It is unknown at once if the sidecar's process has ended.
+        If the sidecar's process has ended, the outcome is reported as
+        unknown without waiting for the deadline.
 
         Parameters
         ----------
         message : control_pb2.ExecuteRequest
             The request whose answer was lost.
         address : str
-            Where its sidecar listens.
+            The address of its sidecar.
         deadline : float
-            Monotonic seconds; the final answer is given by then.
+            Monotonic seconds by which the outcome is returned.
         """
-        request = _describe(message)
-        reply = _unknown('no time left to settle')
-        while (left := deadline - time.monotonic()) > 0:
-            request.wait_seconds = min(_WAIT_SECONDS, left / 2)
+        request = _make_request(message)
+        reply = _make_unknown_reply('no time left to settle')
+        while (remaining := deadline - time.monotonic()) > 0:
+            request.wait_seconds = min(_MAX_WAIT_SECONDS, remaining / 2)
             try:
                 reply = await self._links.call(
                     address,
                     control_grpc.SidecarStub,
                     'Settle',
                     request,
-                    min(_CALL_SECONDS, left),
+                    min(_CALL_TIMEOUT_SECONDS, remaining),
                 )
             except exceptions.PeerAbsent as error:
-                # The record has gone with its process: no later try can
-                # tell more, and the caller would wait for nothing.
-                reply = _unknown(str(error))
+                # The record was lost with its process: a later try cannot
+                # return more, and the caller would wait in vain.
+                reply = _make_unknown_reply(str(error))
                 break
             except exceptions.LinkLost as error:
-                reply = _unknown(str(error))
-                await anyio.sleep(min(_PAUSE_SECONDS, max(left, 0)))
+                reply = _make_unknown_reply(str(error))
+                await anyio.sleep(min(_RETRY_DELAY_SECONDS, max(remaining, 0)))
                 continue
             if reply.verdict != control_pb2.RUNNING:
                 break
-            reply = _unknown('still running at the deadline')
+            reply = _make_unknown_reply('still running at the deadline')
         logs.write_event(
             'settled',
             request=message.request,
@@ -82,8 +83,8 @@
     async def cancel(
         self, message: control_pb2.ExecuteRequest, address: str
     ) -> None:
-        """Tell a sidecar that an attempt's answer is not wanted."""
-        request = _describe(message)
+        """Notify a sidecar that an attempt's answer is not needed."""
+        request = _make_request(message)
         request.cancel = True
         try:
             await self._links.call(
@@ -91,7 +92,7 @@
                 control_grpc.SidecarStub,
                 'Settle',
                 request,
-                _CANCEL_SECONDS,
+                _CANCEL_TIMEOUT_SECONDS,
             )
         except exceptions.LinkLost as error:
             logs.write_event(
@@ -99,7 +100,7 @@
             )
 
 
-def _describe(
+def _make_request(
     message: control_pb2.ExecuteRequest,
 ) -> control_pb2.SettleRequest:
     return control_pb2.SettleRequest(
@@ -109,5 +110,5 @@
     )
 
 
-def _unknown(reason: str) -> control_pb2.ExecuteReply:
+def _make_unknown_reply(reason: str) -> control_pb2.ExecuteReply:
     return control_pb2.ExecuteReply(verdict=control_pb2.UNKNOWN, reason=reason)
--- a/tests/callers/test_quick.py
+++ b/tests/callers/test_quick.py
@@ -23,9 +23,9 @@
 
 class BudgetTest(base.TestCase):
     def test_retries_stay_below_a_fraction_of_successes(self):
-        """Refused requests come back four times while servers are full.
+        """Retries multiply the load on overloaded servers.
 
-        With nothing answered, the budget runs dry and stays so.
+        While no request succeeds, the budget is used up and stays so.
         """
         budget = retries.FractionBudget(trickle=0, clock=lambda: 0.0)
         allowed = sum(budget.spend() for _ in range(1000))
@@ -36,7 +36,7 @@
 
 
 class HedgingTest(base.TestCase):
-    def test_delay_is_a_high_percentile_once_enough_is_known(self):
+    def test_delay_is_a_high_percentile_once_samples_suffice(self):
         policy = hedging.PercentileHedging()
         self.assertIsNone(policy.find_delay('check'))
         for number in range(100):
@@ -47,7 +47,7 @@
 
 
 class BacklogTest(base.TestCase):
-    def test_time_to_return_follows_the_backlog_with_jitter(self):
+    def test_retry_after_follows_the_backlog_with_jitter(self):
         estimate = backlog.Backlog(8, random.Random(1))
         estimate.note_service(0.8)
         for queued in (8, 80):
@@ -63,75 +63,75 @@
 
 
 class ClaimsTest(base.TestCase):
-    async def test_second_entry_joins_the_standing_claim(self):
+    async def test_second_entry_joins_the_existing_claim(self):
         store = memory.MemoryStore()
-        first = await claims.Claims(store).take('k', make_claim('a'))
-        second = await claims.Claims(store).take('k', make_claim('b'))
+        first = await claims.Claims(store).acquire('k', make_claim('a'))
+        second = await claims.Claims(store).acquire('k', make_claim('b'))
         self.assertEqual('a', first.claim.attempt)
         self.assertFalse(first.claim.joined)
         self.assertEqual('a', second.claim.attempt)
         self.assertTrue(second.claim.joined)
 
-    async def test_claim_moves_only_while_nobody_joined_it(self):
+    async def test_claim_moves_only_while_not_joined(self):
         """An order runs on two instances.
 
-        One entry can't connect to the claimed instance and moves the
-        claim, while another entry has just joined the old one.
+        One entry cannot connect to the claimed instance and moves the
+        claim, while another entry has just joined the old claim.
         """
         store = memory.MemoryStore()
-        mine = claims.Claims(store)
-        held = await mine.take('k', make_claim('a'))
-        await claims.Claims(store).take('k', make_claim('b'))
-        moved = await mine.take('k', make_claim('c'), held)
+        own_claims = claims.Claims(store)
+        acquired = await own_claims.acquire('k', make_claim('a'))
+        await claims.Claims(store).acquire('k', make_claim('b'))
+        moved = await own_claims.acquire('k', make_claim('c'), acquired)
         self.assertEqual('a', moved.claim.attempt)
         self.assertTrue(moved.claim.joined)
 
-    async def test_lost_answer_of_the_store_leaves_one_claim(self):
+    async def test_lost_store_response_leaves_one_claim(self):
         store = memory.MemoryStore()
-        mine = claims.Claims(store)
-        await mine.take('other', make_claim('x'))
+        own_claims = claims.Claims(store)
+        await own_claims.acquire('other', make_claim('x'))
         store.faults.lose_answers = 1
-        held = await mine.take('k', make_claim('a'))
-        self.assertEqual('a', held.claim.attempt)
-        self.assertFalse(held.claim.joined)
+        acquired = await own_claims.acquire('k', make_claim('a'))
+        self.assertEqual('a', acquired.claim.attempt)
+        self.assertFalse(acquired.claim.joined)
 
     async def test_store_outage_raises(self):
         store = memory.MemoryStore()
         store.faults.down = True
         with self.assertRaises(exceptions.StoreUnavailable):
-            await claims.Claims(store).take('k', make_claim('a'))
+            await claims.Claims(store).acquire('k', make_claim('a'))
 
 
 class ReplaysTest(base.TestCase):
-    async def test_one_key_is_sent_once_and_answers_all(self):
-        kept = replays.Replays(clock=lambda: 0.0)
-        free = anyio.Event()
+    async def test_one_key_is_sent_once_and_all_receive_its_answer(self):
+        cache = replays.ReplayCache(clock=lambda: 0.0)
+        release = anyio.Event()
         sent = []
         results = []
 
         async def send():
             sent.append(1)
-            await free.wait()
+            await release.wait()
             return control_pb2.ExecuteReply(body=b'answer')
 
         async def run():
             deadline = anyio.current_time() + 30
-            results.append(await kept.run('k', 'f', send, deadline))
+            results.append(await cache.run('k', 'f', send, deadline))
 
         async with anyio.create_task_group() as group:
             for _ in range(3):
                 group.start_soon(run)
             await anyio.wait_all_tasks_blocked()
-            free.set()
+            release.set()
         await run()
         self.assertEqual(1, len(sent))
         self.assertEqual([b'answer'] * 4, [r.body for r in results])
         with self.assertRaises(problems.Problem) as caught:
-            await kept.run('k', 'other', send, 0)
+            await cache.run('k', 'other', send, 0)
         self.assertEqual(422, caught.exception.status)
 
     async def test_refused_key_may_be_sent_again(self):
-        kept = replays.Replays()
+        cache = replays.ReplayCache()
         sent = []
 
         async def send():
@@ -140,7 +140,7 @@
 
         for _ in range(2):
             with self.assertRaises(problems.Problem):
-                await kept.run('k', 'f', send, 0)
+                await cache.run('k', 'f', send, 0)
         self.assertEqual(2, len(sent))
 
 
@@ -157,7 +157,7 @@
 
 
 class OnceFailingLinks:
-    """Fails the first attempt, answers others; settles none."""
+    """Fails the first attempt, answers others; settles as unknown."""
 
     def __init__(self, error: Exception) -> None:
         self.executed: list[str] = []
@@ -176,16 +176,16 @@
 
 @contextlib.asynccontextmanager
 async def open_path(links, store):
-    """Open the way to two idle instances."""
-    known = fleet.Fleet(3600.0)
+    """Open a quick path to two idle instances."""
+    known_fleet = fleet.Fleet(3600.0)
     for name in ('one', 'two'):
-        known.note_report(
+        known_fleet.note_report(
             control_pb2.SidecarReport(
                 instance=name, service='planning', slots=8
             )
         )
     async with quick.QuickPath(
-        known,
+        known_fleet,
         links,
         revisions.View(),
         'zone',
@@ -197,7 +197,7 @@
 
 class SecondAttemptTest(base.TestCase):
     async def assert_unknown(self, links, store, key='') -> None:
-        """Send an order, which must end as unknown after one attempt."""
+        """Check that an order ends as unknown after one attempt."""
         deadline = time.monotonic() + 60
         request = sending.QuickRequest(
             'r', 'order', ORDER, b'', '', deadline, key
@@ -209,25 +209,27 @@
         self.assertEqual(1, len(links.executed))
 
     async def test_order_whose_answer_is_lost_is_not_sent_again(self):
-        """An order without a key is placed twice.
+        """An order without a key runs twice.
 
-        Its answer is lost and the sidecar that could tell its outcome
-        is gone. Another instance is free to take it.
+        Its answer is lost and the sidecar that knew its outcome has been
+        replaced. Another instance has free capacity.
         """
         links = OnceFailingLinks(exceptions.LinkLost('lost'))
         await self.assert_unknown(links, memory.MemoryStore())
 
     async def test_joined_claim_without_a_connection_does_not_move(self):
-        """An order with a key is placed twice.
+        """An order with a key runs twice.
 
-        One entry has claimed the key and sent the order; its sidecar is
-        gone. Another entry joins the claim and can't connect: its own
-        copy was not sent, but the first one may have run.
+        One entry has claimed the key and sent the order to a sidecar
+        that then ended. Another entry joins the claim and cannot
+        connect: its copy was not sent, but the first may have run.
         """
         store = memory.MemoryStore()
-        fingerprint = claims.take_fingerprint(b'')
-        standing = claims.Claim('a', 'one', 'first', 'one:1', 5, fingerprint)
-        await claims.Claims(store).take('a/order/k', standing)
+        fingerprint = claims.compute_fingerprint(b'')
+        existing_claim = claims.Claim(
+            'a', 'one', 'first', 'one:1', 5, fingerprint
+        )
+        await claims.Claims(store).acquire('a/order/k', existing_claim)
         links = OnceFailingLinks(exceptions.LinkRefused('refused'))
         await self.assert_unknown(links, store, 'k')
         self.assertEqual(['a'], links.executed)
--- a/tests/quickcase.py
+++ b/tests/quickcase.py
@@ -1,4 +1,4 @@
-"""What the process tests of quick requests share."""
+"""Shared fixtures of the process tests of quick requests."""
 
 import contextlib
 import dataclasses
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass
 class Site:
-    """Running entries and sidecars, and how to reach them."""
+    """Running entries and sidecars, and their addresses."""
 
     running: deployment.Deployment
     entries: list[deployment.Process] = dataclasses.field(default_factory=list)
@@ -56,12 +56,14 @@
     @property
     def controls(self) -> list[str]:
         """The control addresses of the entries."""
-        return [e.find('listening')[-1]['control'] for e in self.entries]
+        return [
+            entry.find('listening')[-1]['control'] for entry in self.entries
+        ]
 
     def url(self, entry: int = 0) -> str:
         """Return an entry's address for callers."""
-        found = self.entries[entry].find('listening')[-1]
-        return f'http://{found["http"]}'
+        listening = self.entries[entry].find('listening')[-1]
+        return f'http://{listening["http"]}'
 
     async def add_entry(self, name: str, **options: t.Any) -> None:
         """Start an entry."""
@@ -98,7 +100,7 @@
             )
             process['control-advertised'] = address
             self.proxies[name] = control
-        found = await running.start_sidecar(
+        sidecar = await running.start_sidecar(
             name,
             controls or self.controls,
             self.workers[name],
@@ -108,12 +110,12 @@
             sidecar=options,
         )
         if proxied:
-            target = found.find('listening')[-1]['control']
+            target = sidecar.find('listening')[-1]['control']
             await running.set_faults(self.proxies[name], target=target)
-        return found
+        return sidecar
 
     async def wait_ready(self, *sidecars: str) -> None:
-        """Wait until all entries know the catalogue and the sidecars."""
+        """Wait until all entries have the catalogue and the sidecars."""
         for entry in self.entries:
             await entry.wait_event('catalogue')
             for name in sidecars:
@@ -134,19 +136,19 @@
         )
 
     async def read_record(self, name: str) -> list[dict[str, t.Any]]:
-        """Return what a backend server ran."""
+        """Return the requests that a backend server ran."""
         answer = await self.running.client.get(
             f'http://{self.backends[name]}/record'
         )
         return answer.json()
 
     async def read_all(self) -> list[dict[str, t.Any]]:
-        """Return what all backend servers ran."""
+        """Return the requests that all backend servers ran."""
         records = [await self.read_record(name) for name in self.backends]
         return [run for record in records for run in record]
 
     async def wait_work(self) -> str:
-        """Return the name of the first backend server to begin work."""
+        """Return the name of the first backend server to start work."""
         names: list[str] = []
 
         async def wait(name: str) -> None:
@@ -181,7 +183,7 @@
 
 
 async def gather(*calls: t.Awaitable[t.Any]) -> list[t.Any]:
-    """Await all at once and return their results in order."""
+    """Await all concurrently and return their results in order."""
     results: list[t.Any] = [None] * len(calls)
 
     async def run(index: int, call: t.Awaitable[t.Any]) -> None:
--- a/tools/guards_requests.py
+++ b/tools/guards_requests.py
@@ -124,8 +124,8 @@
         'claim marked as joined',
         'I6',
         _CLAIMS,
-        'claim = dataclasses.replace(standing, joined=True)',
-        'claim = standing',
+        'claim = dataclasses.replace(existing_claim, joined=True)',
+        'claim = existing_claim',
         _QUICK_TESTS,
     ),
     guard.Guard(
@@ -144,8 +144,8 @@
         'I6',
         'src/persimmonsail/callers/quick.py',
         'if not request.limits.idempotent:\n'
-        '                    raise _outcome_unknown(reply.reason)',
-        'if False:\n                    raise _outcome_unknown(reply.reason)',
+        '                    raise _make_unknown(reply.reason)',
+        'if False:\n                    raise _make_unknown(reply.reason)',
         (
             'tests/callers/test_quick.py::SecondAttemptTest'
             '::test_order_whose_answer_is_lost_is_not_sent_again',
