--- a/src/persimmonsail/sidecars/__init__.py
+++ b/src/persimmonsail/sidecars/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar's side: one instance, its worker and its backend server."""
+"""The sidecar role: one instance, its worker and its backend server."""
--- a/src/persimmonsail/sidecars/announcer.py
+++ b/src/persimmonsail/sidecars/announcer.py
@@ -16,7 +16,7 @@
 from persimmonsail.sidecars import colocation as colocation_module
 from persimmonsail.sidecars import instance as instance_module
 
-_STALE_INTERVAL = 0.2
+_STALE_INTERVAL_SECONDS = 0.2
 
 
 class Announcer:
@@ -36,23 +36,23 @@
         self._links = opened
         self._colocation = colocation
         self._known: set[str] = set()
-        self._alive: frozenset[str] = frozenset()
+        self._live: frozenset[str] = frozenset()
         self.changed = anyio.Event()
 
     async def run(self) -> None:
-        """Keep a link to every known entry, until cancelled."""
+        """Maintain a link to every known entry until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             self._add(self._settings.sidecar.entries)
             await anyio.sleep_forever()
 
     def announce_now(self) -> None:
-        """Send a report at once, on every link."""
+        """Send a report immediately on every link."""
         self.changed.set()
         self.changed = anyio.Event()
 
     def describe(self, sequence: int) -> control_pb2.SidecarReport:
-        """Return the announcement of this instance."""
+        """Return a report that announces this instance."""
         process = self._settings.process
         limits = self._settings.sidecar
         return control_pb2.SidecarReport(
@@ -77,9 +77,9 @@
         for address in addresses:
             if address not in self._known:
                 self._known.add(address)
-                self._group.start_soon(self._keep_link, address)
+                self._group.start_soon(self._run_link_loop, address)
 
-    async def _keep_link(self, address: str) -> None:
+    async def _run_link_loop(self, address: str) -> None:
         limits = self._settings.links
         while True:
             try:
@@ -94,57 +94,65 @@
                 name = type(error).__name__
                 logs.write_event('link-lost', entry=address, error=name)
             self._links.drop(address)
-            if self._is_gone(address):
+            if self._is_replaced(address):
                 logs.write_event('entry-forgotten', entry=address)
                 self._known.discard(address)
                 return
             await anyio.sleep(limits.heartbeat)
 
-    def _is_gone(self, address: str) -> bool:
-        # An entry replaced at another address would be called for ever.
-        # The settings' addresses are kept: they may be reused.
-        listed = address in self._settings.sidecar.entries
-        return not listed and bool(self._alive) and address not in self._alive
+    def _is_replaced(self, address: str) -> bool:
+        # Without this, the sidecar would keep calling an entry that was
+        # replaced at another address. Configured addresses are retained,
+        # as they may be reused.
+        is_configured = address in self._settings.sidecar.entries
+        return (
+            not is_configured
+            and bool(self._live)
+            and address not in self._live
+        )
 
     async def _run_link(self, address: str) -> None:
         settings = self._settings
         stub = control_grpc.EntryStub(self._links.open(address))
         sequence = 0
-        told = colocation_module.LinkState()
+        link_state = colocation_module.LinkState()
         with anyio.move_on_after(settings.links.silence) as scope:
             async with stub.Link.open() as stream:
                 while True:
                     sequence += 1
-                    asked_at = time.monotonic()
+                    sent_at = time.monotonic()
                     report = self.describe(sequence)
-                    self._colocation.describe(report, told)
+                    self._colocation.describe(report, link_state)
                     await stream.send_message(report)
                     notice = await stream.recv_message()
                     if notice is None:
-                        # Leaving the stream without an error would
-                        # finish it, which fails on an ended one.
+                        # Exiting the stream context without an error
+                        # would finish the stream, which fails once it
+                        # has ended.
                         raise exceptions.LinkLost('ended by the entry')
-                    self._note(notice, asked_at)
+                    self._handle_notice(notice, sent_at)
                     scope.deadline = (
                         anyio.current_time() + settings.links.silence
                     )
                     with anyio.move_on_after(self._choose_interval()):
                         await self.changed.wait()
-        # Also where a notice has moved the limit on in the same moment.
+        # Also raised if a notice extended the deadline just as it passed.
         raise TimeoutError
 
     def _choose_interval(self) -> float:
         interval = self._settings.sidecar.report_interval
         if self._own.find_staleness():
-            return min(interval, _STALE_INTERVAL)
+            return min(interval, _STALE_INTERVAL_SECONDS)
         return interval
 
-    def _note(self, notice: control_pb2.EntryNotice, asked_at: float) -> None:
+    def _handle_notice(
+        self, notice: control_pb2.EntryNotice, sent_at: float
+    ) -> None:
         self._own.note_revision(notice.revision)
-        self._alive = frozenset(notice.entries)
+        self._live = frozenset(notice.entries)
         if notice.fresh:
             self._own.note_fresh(
-                asked_at, asked_at - notice.evidence_age_seconds
+                sent_at, sent_at - notice.evidence_age_seconds
             )
         self._add(notice.entries)
         self._colocation.note_notice(notice)
--- a/src/persimmonsail/sidecars/backends.py
+++ b/src/persimmonsail/sidecars/backends.py
@@ -1,10 +1,10 @@
 """The sidecar's client of the backend server on its instance.
 
-Each request has a connection of its own. A kept connection can go
-silent for good while it is idle, or be closed by the backend server in
-the moment a request is sent; both leave a request of which nobody knows
-whether it ran. On the loopback of one instance a fresh connection costs
-little, and the caller's new work never meets an old silent connection.
+Each request uses its own connection. A keep-alive connection can go
+silent permanently while idle, or be closed by the backend server just
+as a request is sent; in both cases it is unknown whether the request
+ran. On an instance's loopback interface a new connection costs little,
+and new requests never use an old, silent connection.
 """
 
 import dataclasses
@@ -14,40 +14,40 @@
 
 from persimmonsail import exceptions
 
-_JSON = 'application/json'
+_JSON_MEDIA_TYPE = 'application/json'
 _HEALTH_PATH = '/health'
 MAX_ANSWER_BYTES = 1_000_000
 NO_CONNECTION = 'no connection to the backend server'
-_CONNECTING = 'connection.'
+_CONNECTION_EVENT_PREFIX = 'connection.'
 
 
 @dataclasses.dataclass(frozen=True)
 class BackendAnswer:
-    """A backend server's whole answer to one request."""
+    """A backend server's complete answer to one request."""
 
     status: int
     body: bytes
     content_type: str
 
 
-class _Progress:
-    """Tells whether a request may have left; traces one exchange.
+class _SendTrace:
+    """Traces one exchange to find whether its request may be sent.
 
-    Nothing is traced while a request waits for a free connection, and
-    only names that begin with ``connection.`` while it connects.
+    The HTTP library emits no trace events while a request waits for a
+    free connection, and only ``connection.`` events while it connects.
     """
 
     def __init__(self) -> None:
         self.may_be_sent = False
 
     async def note(self, name: str, _: dict[str, object]) -> None:
-        """Take one event of the library's trace in."""
-        if not name.startswith(_CONNECTING):
+        """Handle a trace event of the HTTP library."""
+        if not name.startswith(_CONNECTION_EVENT_PREFIX):
             self.may_be_sent = True
 
 
 class Backend:
-    """Use inside ``async with``; sends work to one backend server."""
+    """Sends work to one backend server; use inside ``async with``."""
 
     def __init__(
         self,
@@ -72,37 +72,37 @@
     async def send(
         self, request: str, body: bytes, content_type: str, timeout: float
     ) -> BackendAnswer:
-        """Send one request and return the whole answer.
+        """Send one request and return the complete answer.
 
         Parameters
         ----------
         request : str
-            The caller's request, as the backend server logs it.
+            The id of the caller's request, for the backend's logs.
         body : bytes
             The caller's body.
         content_type : str
             The body's media type; empty for JSON.
         timeout : float
-            Seconds until the answer is given up.
+            Seconds to wait for the answer.
 
         Raises
         ------
         persimmonsail.exceptions.BackendNotConnected
             If the request was not sent.
         persimmonsail.exceptions.BackendAnswerLost
-            If the request may have run, but its whole answer is not to
-            be had.
+            If the request may have run, but its complete answer was not
+            received.
         """
         headers = {
             'request-id': request,
-            'content-type': content_type or _JSON,
+            'content-type': content_type or _JSON_MEDIA_TYPE,
         }
-        progress = _Progress()
+        send_trace = _SendTrace()
         try:
             with anyio.fail_after(timeout):
-                return await self._exchange(body, headers, timeout, progress)
+                return await self._exchange(body, headers, timeout, send_trace)
         except (httpx.HTTPError, TimeoutError) as error:
-            if not progress.may_be_sent:
+            if not send_trace.may_be_sent:
                 raise exceptions.BackendNotConnected(NO_CONNECTION) from error
             name = type(error).__name__
             raise exceptions.BackendAnswerLost(
@@ -114,7 +114,7 @@
         body: bytes,
         headers: dict[str, str],
         timeout: float,
-        progress: _Progress,
+        send_trace: _SendTrace,
     ) -> BackendAnswer:
         async with self._client.stream(
             'POST',
@@ -122,28 +122,28 @@
             content=body,
             headers=headers,
             timeout=timeout,
-            extensions={'trace': progress.note},
+            extensions={'trace': send_trace.note},
         ) as answer:
-            whole = bytearray()
+            received = bytearray()
             async for chunk in answer.aiter_bytes():
-                whole += chunk
-                if len(whole) > self._max_answer_bytes:
+                received += chunk
+                if len(received) > self._max_answer_bytes:
                     raise exceptions.BackendAnswerLost(
                         'the answer of the backend server is too large'
                     )
         return BackendAnswer(
             answer.status_code,
-            bytes(whole),
-            answer.headers.get('content-type', _JSON),
+            bytes(received),
+            answer.headers.get('content-type', _JSON_MEDIA_TYPE),
         )
 
     async def is_serving(self, timeout: float) -> bool:
-        """Whether the backend server says that it takes new work.
+        """Whether the backend server reports that it accepts new work.
 
         Raises
         ------
         persimmonsail.exceptions.BackendNotConnected
-            If it gave no answer.
+            If it did not answer.
         """
         try:
             answer = await self._client.get(_HEALTH_PATH, timeout=timeout)
--- a/src/persimmonsail/sidecars/colocation.py
+++ b/src/persimmonsail/sidecars/colocation.py
@@ -1,8 +1,8 @@
-"""What a sidecar sees and does about interference on its instance.
+"""Detection and mitigation of interference on a sidecar's instance.
 
-It joins the worker's late usage reports with its own requests' service
-times, hands the samples on to entries, and throttles a noisy task by
-itself: entries would each decide for the same instance.
+The sidecar joins the worker's delayed usage reports with its requests'
+service times, forwards the samples to entries, and throttles a noisy
+task itself: several entries would each decide for the same instance.
 """
 
 import collections
@@ -23,19 +23,19 @@
 from persimmonsail.sidecars import workers
 
 _MAX_SAMPLES = 32
-_DEMAND_MEMORY = 0.8
+_DEMAND_SMOOTHING = 0.8
 
 
 @dataclasses.dataclass
 class LinkState:
-    """What one entry was already told over its link."""
+    """What was already reported to one entry over its link."""
 
     summary: control_pb2.UsageSummary | None = None
     samples: int = 0
 
 
 class Colocation:
-    """Watches one instance's interference and throttles its tasks."""
+    """Monitors interference on one instance and throttles its tasks."""
 
     def __init__(
         self,
@@ -49,15 +49,15 @@
         self._slots = slots
         self._interval = interval
         self._sequence = 0
-        self._learnt = 0
+        self._sample_count = 0
         self._objectives: dict[str, catalogue.Objective] = {}
         self._samples: collections.deque[interference.Sample] = (
             collections.deque(maxlen=_MAX_SAMPLES)
         )
         self._demand: dict[str, float] = {}
         self._estimator = interference.Estimator()
-        # The sidecar cannot see whether another instance would be
-        # better, so it never evicts.
+        # The sidecar cannot tell whether another instance would suit a
+        # task better, so it never evicts.
         budget = ladder_module.EvictionBudget(time.monotonic, 0.0, 0.0)
         self._ladder = ladder_module.Ladder(
             self._estimator,
@@ -67,14 +67,14 @@
         )
 
     async def run(self) -> None:
-        """Take usage reports in and act on them, until cancelled."""
+        """Poll usage reports and act on them until cancelled."""
         cores = self._own.commitments.capacity.cores
         self._timeline = usage.Timeline(cores)
         self._joiner = usage.Joiner(self._timeline, self._slots)
         while True:
             await anyio.sleep(self._interval)
             try:
-                await self._look()
+                await self._poll_usage()
             except (
                 exceptions.WorkerUnavailable,
                 exceptions.StaleIncarnation,
@@ -82,34 +82,36 @@
                 logs.write_warning('usage-missing', error=error)
 
     def note_notice(self, notice: control_pb2.EntryNotice) -> None:
-        """Take in what an entry tells of the owners' objectives."""
+        """Record the owners' objectives from an entry's notice."""
         for found in notice.objectives:
             self._objectives[found.workload] = catalogue.Objective(
                 found.objective
             )
 
     def describe(
-        self, report: control_pb2.SidecarReport, told: LinkState
+        self, report: control_pb2.SidecarReport, link_state: LinkState
     ) -> None:
-        """Add to a report what its entry was not told yet."""
+        """Add to a report the usage that its entry does not have yet."""
         summary = control_pb2.UsageSummary(
             shares=usage.describe_shares(self._find_shares()),
             demand=usage.describe_shares(self._demand),
         )
-        if summary != told.summary:
+        if summary != link_state.summary:
             report.usage.CopyFrom(summary)
-            told.summary = summary
-        new = min(self._learnt - told.samples, len(self._samples))
-        told.samples = self._learnt
+            link_state.summary = summary
+        unreported = min(
+            self._sample_count - link_state.samples, len(self._samples)
+        )
+        link_state.samples = self._sample_count
         now = time.monotonic()
-        for sample in list(self._samples)[len(self._samples) - new :]:
+        for sample in list(self._samples)[len(self._samples) - unreported :]:
             report.samples.append(usage.describe_sample(sample, now))
 
     def _find_shares(self) -> dict[str, float]:
         timeline = getattr(self, '_timeline', None)
         return timeline.find_shares() if timeline else {}
 
-    async def _look(self) -> None:
+    async def _poll_usage(self) -> None:
         windows = await self._worker.list_usage(
             self._own.incarnation, self._sequence
         )
@@ -129,12 +131,12 @@
         for sample in self._joiner.join(report, time.monotonic()):
             self._estimator.learn(sample)
             self._samples.append(sample)
-            self._learnt += 1
-        names = {*self._demand, *self._joiner.demand}
+            self._sample_count += 1
+        workloads = {*self._demand, *self._joiner.demand}
         self._demand = {
-            name: _DEMAND_MEMORY * self._demand.get(name, 0.0)
-            + (1 - _DEMAND_MEMORY) * self._joiner.demand.get(name, 0.0)
-            for name in names
+            workload: _DEMAND_SMOOTHING * self._demand.get(workload, 0.0)
+            + (1 - _DEMAND_SMOOTHING) * self._joiner.demand.get(workload, 0.0)
+            for workload in workloads
         }
 
     async def _act(self) -> None:
--- a/src/persimmonsail/sidecars/execution.py
+++ b/src/persimmonsail/sidecars/execution.py
@@ -34,7 +34,7 @@
         self._backend = backend
         self._group = group
         slots = count_slots(settings)
-        self._most_admitted = slots + settings.queue
+        self._max_admitted = slots + settings.queue
         self._slots = anyio.Semaphore(slots)
         self._backlog = backlog.Backlog(slots, random.Random(own.incarnation))
         self._attempts = attempts.AttemptTable(settings.attempt_window)
@@ -45,7 +45,7 @@
     ) -> control_pb2.ExecuteReply:
         """Run an attempt, or return the outcome it already has."""
         if request.incarnation != self._own.incarnation:
-            return _refuse_other(request, 'other incarnation')
+            return _refuse_unrecorded(request, 'other incarnation')
         known = self._attempts.find(request.attempt)
         if known is not None:
             await known.ended.wait()
@@ -54,22 +54,22 @@
         reason = self._find_refusal(request)
         if reason and not (expired and request.resent):
             # Barred as well: a second copy that arrives once there is
-            # room would otherwise run after the caller was told no.
+            # free capacity would otherwise run after the refusal.
             return self._refuse(request, reason)
         if expired:
-            return _refuse_other(request, 'issued too long ago')
+            return _refuse_unrecorded(request, 'issued too long ago')
         return await self._run_attempt(request)
 
     async def settle(
         self, request: control_pb2.SettleRequest
     ) -> control_pb2.ExecuteReply:
-        """Tell what became of an attempt, or bar it for ever."""
+        """Return an attempt's outcome, or bar it permanently."""
         if request.incarnation != self._own.incarnation:
-            return _unknown('other incarnation')
+            return _make_unknown_reply('other incarnation')
         known = self._attempts.find(request.attempt)
         if known is None:
             if self._attempts.is_expired(request.issued_ms):
-                return _unknown('its record is no longer kept')
+                return _make_unknown_reply('its record is no longer kept')
             return self._attempts.bar(request.attempt, request.issued_ms)
         if request.cancel:
             known.cancelled = True
@@ -96,7 +96,7 @@
         if self._own.backend_leaving:
             return 'the backend server is leaving'
         admitted = self._own.busy_slots + self._own.queued
-        if admitted >= self._most_admitted:
+        if admitted >= self._max_admitted:
             return 'queue full'
         wait = self._backlog.estimate_wait(
             self._own.busy_slots, self._own.queued
@@ -109,10 +109,10 @@
         self, request: control_pb2.ExecuteRequest, reason: str
     ) -> control_pb2.ExecuteReply:
         reply = self._attempts.bar(request.attempt, request.issued_ms, reason)
-        reply.retry_after_seconds = self._suggest_return()
+        reply.retry_after_seconds = self._suggest_retry_after()
         return reply
 
-    def _suggest_return(self) -> float:
+    def _suggest_retry_after(self) -> float:
         return self._backlog.suggest_return(
             self._own.busy_slots, self._own.queued
         )
@@ -121,11 +121,11 @@
         self, request: control_pb2.ExecuteRequest
     ) -> control_pb2.ExecuteReply:
         # The call's own task is cancelled when its link breaks. The work
-        # runs in a task of the sidecar, so that its outcome is kept for
-        # whoever settles the attempt over a fresh link.
+        # runs in a task of the sidecar, so that its outcome is retained
+        # for settlement of the attempt over a new link.
         attempt = self._attempts.begin(request.attempt, request.issued_ms)
-        # Counted before its task begins: a wave that arrives at once
-        # would else pass the check of the queue's length as a whole.
+        # Counted before its task starts: otherwise every request of a
+        # simultaneous burst would pass the check of the queue's length.
         self._own.queued += 1
         self._group.start_soon(self._finish_attempt, attempt, request)
         await attempt.ended.wait()
@@ -136,20 +136,21 @@
         attempt: attempts.Attempt,
         request: control_pb2.ExecuteRequest,
     ) -> None:
-        reply = cut_off = _unknown('cut off')
+        reply = cut_off = _make_unknown_reply('cut off')
         try:
             with attempt.scope:
                 reply = await self._queue_and_send(request)
             if attempt.scope.cancelled_caught and reply is cut_off:
-                # By its entry: another attempt was faster. Whatever a
-                # stop cuts off must not look like this in the evidence.
-                reply = _unknown('no longer wanted')
+                # Cancelled by its entry: another attempt was faster. The
+                # logs must distinguish this from work that a stop of the
+                # sidecar cut off.
+                reply = _make_unknown_reply('no longer wanted')
         finally:
             self._attempts.end(attempt, reply)
-            self._note_outcome(request, reply)
-            self._announce()
+            self._log_outcome(request, reply)
+            self._notify_change()
 
-    def _note_dispatch(self, request: control_pb2.ExecuteRequest) -> None:
+    def _log_dispatch(self, request: control_pb2.ExecuteRequest) -> None:
         logs.write_event(
             'dispatch',
             request=request.request,
@@ -162,12 +163,12 @@
             accelerators=request.size.accelerators,
         )
 
-    def _note_outcome(
+    def _log_outcome(
         self,
         request: control_pb2.ExecuteRequest,
         reply: control_pb2.ExecuteReply,
     ) -> None:
-        # The evidence of what ran, also when nobody waits for it.
+        # The audit's evidence of what ran, even if no caller waits.
         logs.write_event(
             'outcome',
             request=request.request,
@@ -184,20 +185,20 @@
     async def _queue_and_send(
         self, request: control_pb2.ExecuteRequest
     ) -> control_pb2.ExecuteReply:
-        begun = time.monotonic()
-        deadline = begun + request.timeout_seconds
+        queued_at = time.monotonic()
+        deadline = queued_at + request.timeout_seconds
         try:
             with anyio.fail_after(request.timeout_seconds):
                 await self._slots.acquire()
         except TimeoutError:
-            return self._describe_refusal('deadline passed in the queue')
+            return self._make_refusal('deadline passed in the queue')
         except anyio.get_cancelled_exc_class():
-            # Nothing was sent yet, so that a cancelled wait is certain.
-            return self._describe_refusal('cancelled in the queue')
+            # Nothing was sent yet, so the request certainly did not run.
+            return self._make_refusal('cancelled in the queue')
         finally:
             self._own.queued -= 1
             metrics.QUEUE_SECONDS.record(
-                time.monotonic() - begun, request.workload
+                time.monotonic() - queued_at, request.workload
             )
         self._own.busy_slots += 1
         holder = f'request/{request.attempt}'
@@ -208,7 +209,7 @@
                 commitments.capacity, request.urgent
             )
             if not commitments.try_commit(holder, size, limit):
-                return self._describe_refusal('no capacity')
+                return self._make_refusal('no capacity')
             return await self._send(request, deadline)
         finally:
             self._own.commitments.release(holder)
@@ -218,24 +219,26 @@
     async def _send(
         self, request: control_pb2.ExecuteRequest, deadline: float
     ) -> control_pb2.ExecuteReply:
-        began = time.monotonic()
-        if began >= deadline:
-            return self._describe_refusal('deadline passed in the queue')
-        self._note_dispatch(request)
+        started_at = time.monotonic()
+        if started_at >= deadline:
+            return self._make_refusal('deadline passed in the queue')
+        self._log_dispatch(request)
         try:
             answer = await self._backend.send(
                 request.request,
                 request.body,
                 request.content_type,
-                deadline - began,
+                deadline - started_at,
             )
         except exceptions.BackendNotConnected as error:
-            return self._describe_refusal(str(error))
+            return self._make_refusal(str(error))
         except exceptions.BackendAnswerLost as error:
-            return _unknown(str(error))
-        ended = time.monotonic()
-        self._own.latencies.note(request.workload, ended - began, ended)
-        self._backlog.note_service(ended - began)
+            return _make_unknown_reply(str(error))
+        ended_at = time.monotonic()
+        self._own.latencies.note(
+            request.workload, ended_at - started_at, ended_at
+        )
+        self._backlog.note_service(ended_at - started_at)
         return control_pb2.ExecuteReply(
             verdict=control_pb2.ANSWERED,
             status=answer.status,
@@ -244,37 +247,37 @@
             ran_as=request.request,
         )
 
-    def _describe_refusal(self, reason: str) -> control_pb2.ExecuteReply:
+    def _make_refusal(self, reason: str) -> control_pb2.ExecuteReply:
         return control_pb2.ExecuteReply(
             verdict=control_pb2.NOT_RUN,
             reason=reason,
-            retry_after_seconds=self._suggest_return(),
+            retry_after_seconds=self._suggest_retry_after(),
         )
 
-    def _announce(self) -> None:
+    def _notify_change(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
 
 def count_slots(settings: settings_module.Sidecar) -> int:
-    """Return how many requests may be at the backend server at once.
+    """Return the maximum of concurrent requests to the backend server.
 
-    Each takes one slot and one connection; one connection is kept for
-    the health probe.
+    Each takes one slot and one connection; one connection is reserved
+    for the health probe.
     """
     connections = max(settings.connections - _PROBE_CONNECTIONS, 1)
     return min(settings.slots, connections)
 
 
-def _unknown(reason: str) -> control_pb2.ExecuteReply:
+def _make_unknown_reply(reason: str) -> control_pb2.ExecuteReply:
     return control_pb2.ExecuteReply(verdict=control_pb2.UNKNOWN, reason=reason)
 
 
-def _refuse_other(
+def _refuse_unrecorded(
     request: control_pb2.ExecuteRequest, reason: str
 ) -> control_pb2.ExecuteReply:
-    # An earlier copy of a request that was sent before may have run
-    # under a record that is gone; only of a first one 'not run' is sure.
+    # An earlier copy of a resent request may have run and its record may
+    # be gone; 'not run' is certain only for a request sent once.
     if request.resent:
-        return _unknown(reason)
+        return _make_unknown_reply(reason)
     return control_pb2.ExecuteReply(verdict=control_pb2.NOT_RUN, reason=reason)
--- a/src/persimmonsail/sidecars/healthchecks.py
+++ b/src/persimmonsail/sidecars/healthchecks.py
@@ -1,10 +1,10 @@
-"""A sidecar's probe of the backend server on its instance.
+"""A sidecar's health probe of the backend server on its instance.
 
-The sidecar asks ``GET /health`` at an interval: 200 announces a backend
-server that takes new work, any other status one that is leaving.
-Probing costs a loopback request each interval; an HTTP server in the
-sidecar, to which backend servers would announce themselves, costs
-several megabytes for each instance.
+The sidecar polls ``GET /health`` at an interval: status 200 means that
+the backend server accepts new work, any other that it is leaving.
+Probing costs one loopback request per interval; an HTTP server in the
+sidecar, to which backend servers would announce themselves, would cost
+several megabytes per instance.
 """
 
 import typing as t
@@ -16,11 +16,11 @@
 from persimmonsail.sidecars import backends
 from persimmonsail.sidecars import instance as instance_module
 
-_MAX_FAILURES = 2
+_FAILURE_THRESHOLD = 2
 
 
 class BackendProbe:
-    """Keeps an instance's ``backend_leaving`` up to date."""
+    """Updates an instance's ``backend_leaving``."""
 
     def __init__(
         self,
@@ -41,22 +41,22 @@
             await self.probe_once()
             await anyio.sleep(self._interval)
 
-    async def _ask(self) -> bool | None:
-        # A connection that goes silent gives no error; the time limit
-        # turns it into a failed probe, the next one connects anew. One
-        # failure says little: this process itself may have been paused.
+    async def _fetch_health(self) -> bool | None:
+        # A connection that goes silent raises no error; the timeout turns
+        # it into a failed probe, and the next probe reconnects. A single
+        # failure is not conclusive: this process may have been paused.
         try:
             with anyio.fail_after(self._interval):
                 serving = await self._backend.is_serving(self._interval)
         except (exceptions.BackendNotConnected, TimeoutError):
             self._failures += 1
-            return False if self._failures >= _MAX_FAILURES else None
+            return False if self._failures >= _FAILURE_THRESHOLD else None
         self._failures = 0
         return serving
 
     async def probe_once(self) -> None:
-        """Probe, and announce a change at once."""
-        serving = await self._ask()
+        """Probe, and announce a change immediately."""
+        serving = await self._fetch_health()
         if serving is None:
             return
         if serving is not self._own.backend_leaving:
--- a/src/persimmonsail/sidecars/instance.py
+++ b/src/persimmonsail/sidecars/instance.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of its own instance."""
+"""A sidecar's state of its own instance."""
 
 import dataclasses
 import math
@@ -13,7 +13,7 @@
 
 
 def _read_clock() -> float:
-    # Looked up at each call, so that a test's clock is read too.
+    # Looked up on each call, so that tests can replace the clock.
     return time.monotonic()
 
 
@@ -22,7 +22,7 @@
 
 
 def name_verdict(verdict: int) -> str:
-    """Return a verdict as log lines write it."""
+    """Return a verdict's name in log lines."""
     return control_pb2.Verdict.Name(verdict).lower().replace('_', '-')
 
 
@@ -30,11 +30,11 @@
 class OwnInstance:
     """The sidecar's own instance: commitments, queue and state.
 
-    ``incarnation`` tells an old and a new sidecar of one instance
-    apart; ``revision`` is the highest catalogue revision seen.
-    ``backend_leaving`` concerns quick requests only, tasks go on.
-    ``notice_limit`` is for how many seconds an entry's word that its
-    catalogue is fresh counts, from ``confirmed_at`` on.
+    ``incarnation`` distinguishes the processes of successive sidecars;
+    ``revision`` is the highest observed catalogue revision.
+    ``backend_leaving`` affects quick requests only, not tasks.
+    ``notice_limit`` is how many seconds from ``confirmed_at`` an
+    entry's report of a fresh catalogue remains valid.
     """
 
     incarnation: str = dataclasses.field(default_factory=_make_incarnation)
@@ -42,7 +42,7 @@
     notice_limit: float = math.inf
     confirmed_at: float = -math.inf
     started_at: float = dataclasses.field(default_factory=_read_clock)
-    is_informed: bool = False
+    has_fresh_evidence: bool = False
     leaving: bool = False
     backend_leaving: bool = False
     busy_slots: int = 0
@@ -58,7 +58,7 @@
     )
 
     def describe_load(self) -> control_pb2.Load:
-        """Return the load that goes with every reply."""
+        """Return the load that is attached to every reply."""
         return control_pb2.Load(
             committed=self.commitments.total.to_message(),
             busy_slots=self.busy_slots,
@@ -69,7 +69,7 @@
         )
 
     def note_revision(self, revision: int) -> None:
-        """Remember the highest catalogue revision seen."""
+        """Record the highest observed catalogue revision."""
         if revision > self.revision:
             self.revision = revision
             logs.write_event(
@@ -77,32 +77,33 @@
             )
 
     def note_fresh(self, asked_at: float, evidence_at: float) -> None:
-        """Take an entry's word that its catalogue is fresh.
+        """Record an entry's report that its catalogue is fresh.
 
         Parameters
         ----------
         asked_at : float
-            Monotonic seconds before the entry was asked.
+            Monotonic seconds, read before the entry was asked.
         evidence_at : float
-            Monotonic seconds; no revision higher than the entry's had
-            been accepted then.
+            Monotonic seconds at which no revision higher than the
+            entry's had been accepted.
         """
         self.confirmed_at = max(self.confirmed_at, asked_at)
         if evidence_at >= self.started_at:
-            self.is_informed = True
+            self.has_fresh_evidence = True
 
     def find_staleness(self) -> str:
         """Return why no revision can be trusted; empty if one can.
 
-        A restarted sidecar has forgotten the highest revision, and an
-        entry may still be fresh under the one before. Evidence that is
-        younger than this sidecar covers all that it may have forgotten.
-        An entry that was frozen past an accepted change wakes with the
-        replaced revision; without word of late, nobody told this one.
+        A restarted sidecar has lost the highest revision, and an entry
+        may still be fresh under the previous one. Evidence newer than
+        the sidecar's start covers every revision it may have lost. An
+        entry that was frozen while a change was accepted resumes with
+        the replaced revision. Without a recent confirmation, this
+        sidecar may not have been notified of the change.
         """
         if self.notice_limit == math.inf:
             return ''
-        if not self.is_informed:
+        if not self.has_fresh_evidence:
             return 'no entry confirms the catalogue revision since the start'
         if time.monotonic() - self.confirmed_at <= self.notice_limit:
             return ''
--- a/src/persimmonsail/sidecars/sidecar.py
+++ b/src/persimmonsail/sidecars/sidecar.py
@@ -28,11 +28,11 @@
 from persimmonsail.sidecars import supervisor
 from persimmonsail.sidecars import workers
 
-_WORKER_TIMEOUT = 1.0
+_WORKER_TIMEOUT_SECONDS = 1.0
 
 
 class Sidecar(control_grpc.SidecarBase):
-    """Offers an instance to entries; use inside ``async with``."""
+    """Serves one instance to entries; use inside ``async with``."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
@@ -42,15 +42,15 @@
         self.calls = shutdown.Calls()
 
     async def __aenter__(self) -> 'Sidecar':
-        self._owned = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
         limits = self.settings.sidecar
-        worker = await self._owned.enter_async_context(
-            workers.Worker(limits.worker, _WORKER_TIMEOUT)
+        worker = await self._exit_stack.enter_async_context(
+            workers.Worker(limits.worker, _WORKER_TIMEOUT_SECONDS)
         )
-        self.backend = await self._owned.enter_async_context(
+        self.backend = await self._exit_stack.enter_async_context(
             backends.Backend(limits.backend, limits.connections)
         )
-        self._group = await self._owned.enter_async_context(
+        self._group = await self._exit_stack.enter_async_context(
             anyio.create_task_group()
         )
         self.executor = execution.Executor(
@@ -64,7 +64,7 @@
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
         self._group.cancel_scope.cancel()
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     async def Execute(self, stream) -> None:
         """Run one quick request, at most once for each attempt."""
@@ -77,7 +77,7 @@
     def _complete(
         self, outcome: control_pb2.ExecuteReply
     ) -> control_pb2.ExecuteReply:
-        # The outcome is kept for whoever settles the attempt later.
+        # Copied, as the outcome itself is retained for settlement.
         reply = control_pb2.ExecuteReply()
         reply.CopyFrom(outcome)
         reply.load.CopyFrom(self.own.describe_load())
@@ -104,10 +104,10 @@
             queued=self.own.queued,
             retry_after=reply.retry_after_seconds,
         )
-        _count(request.workload, reply.verdict)
+        _count_admission(request.workload, reply.verdict)
 
     async def Settle(self, stream) -> None:
-        """Tell what became of an attempt, or bar it for ever."""
+        """Return an attempt's outcome, or bar it permanently."""
         request = await stream.recv_message()
         with self.calls.track():
             reply = self._complete(await self.executor.settle(request))
@@ -145,23 +145,23 @@
             verdict=instance_module.name_verdict(reply.verdict),
             reason=reply.reason,
         )
-        _count(request.workload, reply.verdict)
+        _count_admission(request.workload, reply.verdict)
         await stream.send_message(reply)
 
     async def Renew(self, stream) -> None:
-        """Extend a partition's leases and tell how its tasks stand."""
+        """Extend a partition's leases and report its tasks' states."""
         request = await stream.recv_message()
         reply = await self.supervisor.renew(request)
         reply.load.CopyFrom(self.own.describe_load())
         await stream.send_message(reply)
 
     async def StopTask(self, stream) -> None:
-        """Stop one attempt, with a checkpoint if asked for."""
+        """Stop one attempt, with a checkpoint if requested."""
         request = await stream.recv_message()
         await stream.send_message(await self.supervisor.stop(request))
 
 
-def _count(workload: str, verdict: int) -> None:
+def _count_admission(workload: str, verdict: int) -> None:
     name = instance_module.name_verdict(verdict)
     metrics.ADMISSIONS.increase(workload, name)
 
@@ -174,9 +174,9 @@
             Sidecar(settings) as sidecar,
             anyio.create_task_group() as group,
         ):
-            group.start_soon(_note_signal, signals, stop)
-            # While the worker is down this tries again and again; a stop
-            # that only waited behind it would never come.
+            group.start_soon(_wait_for_signal, signals, stop)
+            # Rebuilding retries while the worker is down; a stop that
+            # waited for its completion might never happen.
             await stop.run_until_begun(sidecar.supervisor.rebuild)
             if not stop.begun.is_set():
                 await _serve(sidecar, stop)
@@ -185,7 +185,7 @@
     logs.write_event('stopped', incarnation=sidecar.own.incarnation)
 
 
-async def _note_signal(
+async def _wait_for_signal(
     signals: t.AsyncIterator[signal.Signals], stop: shutdown.Stop
 ) -> None:
     await anext(signals)
@@ -219,13 +219,13 @@
             group.start_soon(sidecar.colocation.run)
             group.start_soon(measurements.run)
             await stop.begun.wait()
-            await _stop(sidecar, announcer)
+            await _drain(sidecar, announcer)
             group.cancel_scope.cancel()
     server.close()
     await server.wait_closed()
 
 
-async def _stop(
+async def _drain(
     sidecar: Sidecar, announcer: announcer_module.Announcer
 ) -> None:
     logs.write_event('stopping', incarnation=sidecar.own.incarnation)
--- a/src/persimmonsail/sidecars/supervisor.py
+++ b/src/persimmonsail/sidecars/supervisor.py
@@ -1,4 +1,4 @@
-"""Tasks on one instance: their admission, leases and ends."""
+"""Admission, leases and completion of tasks on one instance."""
 
 import time
 import typing as t
@@ -15,9 +15,9 @@
 from persimmonsail.sidecars import tasklog
 from persimmonsail.sidecars import workers
 
-_WORKER_RETRY = 0.2
-_BUSY_RETRY_AFTER = 0.1
-_SETTLED_KEPT = 60.0
+_WORKER_RETRY_SECONDS = 0.2
+_BUSY_RETRY_AFTER_SECONDS = 0.1
+_SETTLED_RETENTION_SECONDS = 60.0
 _PHASES = {
     'active': control_pb2.ACTIVE,
     'succeeded': control_pb2.SUCCEEDED,
@@ -25,17 +25,17 @@
     'evicted': control_pb2.EVICTED,
     'stopped': control_pb2.STOPPED,
 }
-_WORKER_REFUSED = (exceptions.StaleIncarnation, exceptions.StaleEpoch)
+_WORKER_REFUSALS = (exceptions.StaleIncarnation, exceptions.StaleEpoch)
 
 
 class Supervisor:
     """Starts, renews and stops attempts at tasks on the worker.
 
-    A reply carries a ticket: this process's monotonic time. A later
-    request is granted until its ticket plus the lease, whenever it
-    arrives. Otherwise a holder that is frozen between the check of its
-    own lease and its send would extend, on waking, a lease that the
-    next holder has waited out.
+    Each reply carries a ticket: this process's monotonic time. A lease
+    that a later request grants ends at its ticket plus the duration,
+    whenever the request arrives. Otherwise a holder that freezes between
+    the check of its own lease and its send would, on resuming, extend a
+    lease whose expiry the next holder has waited for.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         self._bars: dict[workers.Attempt, float] = {}
         self._unsettled: set[str] = set()
         self._settled_at: dict[str, float] = {}
-        self._rebuilding = anyio.Lock()
+        self._takeover_lock = anyio.Lock()
         self._ref_sets = refsets.RefSetReader()
 
     async def rebuild(self) -> None:
-        """Take the worker over and recommit what it runs.
+        """Take the worker over and restore its tasks' commitments.
 
-        Nothing is admitted before: a restarted sidecar knows nothing of
+        Nothing is admitted before: a restarted sidecar has no record of
         the tasks its predecessor admitted, and would commit their
         processors and memory a second time.
         """
@@ -63,7 +63,7 @@
                 return
             except exceptions.WorkerUnavailable as error:
                 logs.write_warning('worker-unavailable', error=error)
-                await anyio.sleep(_WORKER_RETRY)
+                await anyio.sleep(_WORKER_RETRY_SECONDS)
 
     async def start(
         self, request: control_pb2.StartTaskRequest
@@ -79,37 +79,37 @@
         self, request: control_pb2.StartTaskRequest
     ) -> control_pb2.StartTaskReply:
         reason = self._find_refusal(request)
-        holder = _name_commitment(request.task, request.attempt)
+        commitment = _name_commitment(request.task, request.attempt)
         size = admission.read_size(request.size)
         limit = admission.leave_headroom(self._own.commitments.capacity)
         if not reason and not self._own.commitments.try_commit(
-            holder, size, limit
+            commitment, size, limit
         ):
             reason = 'no capacity'
         if reason:
             self._bar((request.task, request.attempt), request.lease_seconds)
             return _refuse_start(reason)
-        self._unsettled.add(holder)
-        reply = await self._send_start(request, holder)
+        self._unsettled.add(commitment)
+        reply = await self._send_start(request, commitment)
         if reply.verdict != control_pb2.UNKNOWN:
-            self._settle(holder)
+            self._mark_settled(commitment)
         return reply
 
-    def _settle(self, holder: str) -> None:
-        self._unsettled.discard(holder)
-        self._settled_at[holder] = time.monotonic()
+    def _mark_settled(self, commitment: str) -> None:
+        self._unsettled.discard(commitment)
+        self._settled_at[commitment] = time.monotonic()
 
     async def _send_start(
-        self, request: control_pb2.StartTaskRequest, holder: str
+        self, request: control_pb2.StartTaskRequest, commitment: str
     ) -> control_pb2.StartTaskReply:
         until = request.ticket + request.lease_seconds
-        tasklog.note_dispatch(self._own.incarnation, request)
+        tasklog.log_dispatch(self._own.incarnation, request)
         if not request.suspect:
             self._own.probation.note_start(request.task, request.attempt)
         try:
             await self._worker.start(self._describe_start(request), until)
-        except (*_WORKER_REFUSED, exceptions.AttemptRefused) as error:
-            self._own.commitments.release(holder)
+        except (*_WORKER_REFUSALS, exceptions.AttemptRefused) as error:
+            self._own.commitments.release(commitment)
             self._own.probation.forget(request.task, request.attempt)
             self._bar((request.task, request.attempt), request.lease_seconds)
             return _refuse_start(str(error))
@@ -124,7 +124,7 @@
             return 'other incarnation'
         if not self._accept_epoch(request.partition, request.epoch):
             return reasons.LATER_EPOCH
-        if not self._is_granted(request):
+        if not self._is_ticket_valid(request):
             return 'the lease is over'
         if request.boot != self._worker.boot:
             return 'the worker was restarted'
@@ -140,34 +140,34 @@
         return self._own.probation.find_refusal(request.canary)
 
     def _accept_epoch(self, partition: int, epoch: int) -> bool:
-        """Refuse a holder that another one has followed.
+        """Record a holder's epoch; return false if a later one is known.
 
-        It may have been frozen while its partition was taken over; on
-        waking it would command tasks that its follower has moved.
+        A holder that was frozen while its partition was taken over
+        would, on resuming, command tasks that its successor has moved.
         """
         highest = self._epochs.get(partition, 0)
         if epoch < highest:
-            tasklog.note_refused_epoch(partition, epoch, highest)
+            tasklog.log_refused_epoch(partition, epoch, highest)
             return False
         self._epochs[partition] = epoch
         return True
 
-    def _find_end(self, request: control_pb2.RenewRequest) -> float:
-        # Only a ticket of this process's past can extend a lease.
-        granted = self._is_granted(request)
-        return request.ticket + request.lease_seconds if granted else 0.0
+    def _find_lease_end(self, request: control_pb2.RenewRequest) -> float:
+        # Only a ticket from this process's past can extend a lease.
+        is_valid = self._is_ticket_valid(request)
+        return request.ticket + request.lease_seconds if is_valid else 0.0
 
-    def _is_granted(self, request: t.Any) -> bool:
+    def _is_ticket_valid(self, request: t.Any) -> bool:
         now = time.monotonic()
         return request.ticket <= now < request.ticket + request.lease_seconds
 
     def _bar(self, key: workers.Attempt, lease_seconds: float) -> None:
-        # A start sent before this moment is valid for a lease at most;
-        # after that its ticket alone gets it refused.
+        # A start sent before now is valid for at most one lease; after
+        # that it is refused because of its ticket.
         now = time.monotonic()
         self._bars[key] = now + lease_seconds
-        for old in [key for key, end in self._bars.items() if end < now]:
-            del self._bars[old]
+        for expired in [key for key, end in self._bars.items() if end < now]:
+            del self._bars[expired]
 
     def _describe_start(
         self, request: control_pb2.StartTaskRequest
@@ -189,7 +189,7 @@
     async def renew(
         self, request: control_pb2.RenewRequest
     ) -> control_pb2.RenewReply:
-        """Extend a partition's leases and tell how its tasks stand."""
+        """Extend a partition's leases and report its tasks' states."""
         reply = control_pb2.RenewReply(incarnation=self._own.incarnation)
         if not self._ref_sets.restore(request):
             reply.reason = 'the tasks have to be named'
@@ -209,30 +209,32 @@
         reply.boot = self._worker.boot
         if request.incarnation != self._own.incarnation:
             return 'other incarnation'
-        wanted = [(ref.task, ref.attempt) for ref in request.tasks]
-        asked_at = time.monotonic()
+        requested = [(ref.task, ref.attempt) for ref in request.tasks]
+        requested_at = time.monotonic()
         verdict = 'unknown'
         try:
-            view = await self._renew_worker(request, wanted)
+            view = await self._renew_worker(request, requested)
             verdict = 'renewed'
         except exceptions.WorkerUnavailable as error:
             return str(error)
-        except _WORKER_REFUSED as error:
+        except _WORKER_REFUSALS as error:
             verdict = 'refused'
             return str(error)
         finally:
-            tasklog.note_renewal(
-                self._own.incarnation, request, verdict, asked_at
+            tasklog.log_renewal(
+                self._own.incarnation, request, verdict, requested_at
             )
         reply.boot = view.boot
-        for key in wanted:
-            self._settle_asked(_name_commitment(*key))
-        self._reconcile(view, asked_at)
-        self._describe_states(request, wanted, view, reply)
+        for key in requested:
+            self._clear_unsettled(_name_commitment(*key))
+        self._reconcile(view, requested_at)
+        self._describe_states(request, requested, view, reply)
         return ''
 
     async def _renew_worker(
-        self, request: control_pb2.RenewRequest, wanted: list[workers.Attempt]
+        self,
+        request: control_pb2.RenewRequest,
+        requested: list[workers.Attempt],
     ) -> workers.WorkerView:
         ended = tuple((ref.task, ref.attempt) for ref in request.acknowledged)
         for key in ended:
@@ -241,8 +243,8 @@
             incarnation=self._own.incarnation,
             partition=request.partition,
             epoch=request.epoch,
-            tasks=tuple(wanted),
-            until=self._find_end(request),
+            tasks=tuple(requested),
+            until=self._find_lease_end(request),
             lease_seconds=request.lease_seconds,
             acknowledged=ended,
         )
@@ -251,13 +253,13 @@
         except exceptions.StaleIncarnation:
             if self._worker.incarnation:
                 raise
-        # No sidecar has taken this worker over: it was restarted.
+        # No sidecar has taken this worker over, so it was restarted.
         await self._take_over()
         return await self._worker.renew(renewal)
 
     async def _take_over(self) -> None:
-        asked_at = time.monotonic()
-        async with self._rebuilding:
+        requested_at = time.monotonic()
+        async with self._takeover_lock:
             view = await self._worker.take_over(
                 self._own.incarnation, self._epochs
             )
@@ -266,35 +268,39 @@
             view.cores, view.memory_gb, view.accelerators
         )
         self._own.commitments.capacity = capacity
-        self._reconcile(view, asked_at)
-        tasklog.note_takeover(self._own.incarnation, view)
+        self._reconcile(view, requested_at)
+        tasklog.log_takeover(self._own.incarnation, view)
 
     def _describe_states(
         self,
         request: control_pb2.RenewRequest,
-        wanted: list[workers.Attempt],
+        requested: list[workers.Attempt],
         view: workers.WorkerView,
         reply: control_pb2.RenewReply,
     ) -> None:
-        found = {(task.task, task.attempt): task for task in view.tasks}
-        for key in wanted:
-            if key not in found:
+        found_tasks = {(task.task, task.attempt): task for task in view.tasks}
+        for key in requested:
+            if key not in found_tasks:
                 self._bar(key, request.lease_seconds)
-            reply.states.append(self._describe_state(key, found.get(key)))
-        for key, task in found.items():
-            if key not in wanted and task.partition == request.partition:
+            reply.states.append(
+                self._describe_state(key, found_tasks.get(key))
+            )
+        for key, task in found_tasks.items():
+            if key not in requested and task.partition == request.partition:
                 reply.unasked.append(self._describe_state(key, task))
 
-    def _settle_asked(self, holder: str) -> None:
-        # The worker has barred an attempt that it was asked about and
-        # did not know; a start still on its way can't take the room.
-        self._unsettled.discard(holder)
+    def _clear_unsettled(self, commitment: str) -> None:
+        # The worker bars a requested attempt that it does not know, so a
+        # start that is still in transit cannot use the capacity.
+        self._unsettled.discard(commitment)
 
-    def _reconcile(self, view: workers.WorkerView, asked_at: float) -> None:
-        """Commit what the worker runs and release what has ended.
+    def _reconcile(
+        self, view: workers.WorkerView, requested_at: float
+    ) -> None:
+        """Commit running tasks and release the commitments of ended ones.
 
-        A start that was under way when the worker was asked is missing
-        in its answer, and keeps its commitment.
+        A start that was in transit when the worker was queried is
+        missing from its answer, and retains its commitment.
         """
         active = {
             _name_commitment(task.task, task.attempt): task
@@ -304,13 +310,13 @@
         for name in self._own.commitments.list_holders('task/'):
             if name in active or name in self._unsettled:
                 continue
-            if self._settled_at.get(name, asked_at) <= asked_at:
+            if self._settled_at.get(name, requested_at) <= requested_at:
                 self._own.commitments.release(name)
-                tasklog.note_freed(self._own.incarnation, name)
+                tasklog.log_freed(self._own.incarnation, name)
         self._settled_at = {
             name: at
             for name, at in self._settled_at.items()
-            if at > asked_at - _SETTLED_KEPT
+            if at > requested_at - _SETTLED_RETENTION_SECONDS
         }
         for name, task in active.items():
             size = admission.Size(
@@ -321,7 +327,7 @@
     async def stop(
         self, request: control_pb2.StopTaskRequest
     ) -> control_pb2.StopTaskReply:
-        """Stop one attempt, with a checkpoint if asked for."""
+        """Stop one attempt, with a checkpoint if requested."""
         reply = control_pb2.StopTaskReply()
         if not self._accept_epoch(request.partition, request.epoch):
             reply.reason = reasons.LATER_EPOCH
@@ -340,7 +346,7 @@
                     'lease_seconds': request.lease_seconds,
                 }
             )
-        except (exceptions.WorkerUnavailable, *_WORKER_REFUSED) as error:
+        except (exceptions.WorkerUnavailable, *_WORKER_REFUSALS) as error:
             reply.reason = str(error)
             return reply
         if task is None or task.phase != 'active':
@@ -362,7 +368,7 @@
             state.answer = task.answer
             state.checkpoint = task.checkpoint
         if state.phase != control_pb2.ACTIVE:
-            tasklog.note_ended(
+            tasklog.log_ended(
                 self._own.incarnation, key, phase, state.checkpoint
             )
         return state
@@ -376,5 +382,5 @@
     return control_pb2.StartTaskReply(
         verdict=control_pb2.NOT_RUN,
         reason=reason,
-        retry_after_seconds=_BUSY_RETRY_AFTER,
+        retry_after_seconds=_BUSY_RETRY_AFTER_SECONDS,
     )
--- a/src/persimmonsail/sidecars/tasklog.py
+++ b/src/persimmonsail/sidecars/tasklog.py
@@ -1,4 +1,4 @@
-"""What a sidecar logs of tasks, as evidence for the audit."""
+"""Log events of a sidecar's tasks, which are evidence for the audit."""
 
 import dataclasses
 import time
@@ -10,8 +10,8 @@
 from persimmonsail.sidecars import workers
 
 
-def note_takeover(incarnation: str, view: workers.WorkerView) -> None:
-    """Log that a worker was taken over, and what was found there."""
+def log_takeover(incarnation: str, view: workers.WorkerView) -> None:
+    """Log that a worker was taken over, and the tasks it runs."""
     size = admission.Size(view.cores, view.memory_gb, view.accelerators)
     logs.write_event(
         'takeover',
@@ -32,13 +32,13 @@
             )
 
 
-def note_dispatch(
+def log_dispatch(
     incarnation: str, request: control_pb2.StartTaskRequest
 ) -> None:
     """Log, before the worker is called, that an attempt may run.
 
-    A sidecar that dies in the call leaves evidence that way.
-    ``lease_seconds`` is what is left of the lease at this line's time.
+    The evidence is then present even if the sidecar dies in the call.
+    ``lease_seconds`` is the rest of the lease at this line's time.
     """
     logs.write_event(
         'task-dispatch',
@@ -49,22 +49,22 @@
         incarnation=incarnation,
         revision=request.revision,
         ticket=f'{request.ticket:.6f}',
-        lease_seconds=_find_rest(request, time.monotonic()),
+        lease_seconds=_find_remaining_lease(request, time.monotonic()),
         checkpoint=logs.digest(request.checkpoint.encode()),
         **dataclasses.asdict(admission.read_size(request.size)),
     )
 
 
-def note_renewal(
+def log_renewal(
     incarnation: str,
     request: control_pb2.RenewRequest,
     verdict: str,
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """Log, after the call, which leases were extended.
 
-    The worker's own deadline is not later than this line's time and
-    ``lease_seconds``, nor earlier than that less ``took``.
+    The worker's own deadline is at most this line's time plus
+    ``lease_seconds``, and at least that minus ``took``.
     """
     if not request.tasks:
         return
@@ -74,18 +74,18 @@
         epoch=request.epoch,
         incarnation=incarnation,
         ticket=f'{request.ticket:.6f}',
-        lease_seconds=_find_rest(request, asked_at),
+        lease_seconds=_find_remaining_lease(request, requested_at),
         verdict=verdict,
-        took=time.monotonic() - asked_at,
+        took=time.monotonic() - requested_at,
         tasks=','.join(f'{ref.task}/{ref.attempt}' for ref in request.tasks),
     )
 
 
-def note_freed(incarnation: str, commitment: str) -> None:
-    """Note that what an ended attempt held is free again.
+def log_freed(incarnation: str, commitment: str) -> None:
+    """Log that an ended attempt's commitment was released.
 
-    Whichever partition's renewal shows the end first frees it; the
-    attempt's own ``task-ended`` may follow later.
+    The first renewal of any partition that shows the end releases it;
+    the attempt's own ``task-ended`` may follow later.
     """
     _, task, attempt = commitment.split('/')
     logs.write_event(
@@ -96,10 +96,10 @@
     )
 
 
-def note_ended(
+def log_ended(
     incarnation: str, key: workers.Attempt, phase: str, checkpoint: str
 ) -> None:
-    """Log that the worker does not run an attempt any more."""
+    """Log that the worker no longer runs an attempt."""
     logs.write_event(
         'task-ended',
         task=key[0],
@@ -110,12 +110,12 @@
     )
 
 
-def note_refused_epoch(partition: int, epoch: int, highest: int) -> None:
-    """Log that a holder was refused which another one has followed."""
+def log_refused_epoch(partition: int, epoch: int, highest: int) -> None:
+    """Log that a holder with a superseded epoch was refused."""
     logs.write_event(
         'epoch-refused', partition=partition, epoch=epoch, highest=highest
     )
 
 
-def _find_rest(request: t.Any, now: float) -> float:
+def _find_remaining_lease(request: t.Any, now: float) -> float:
     return max(request.ticket + request.lease_seconds - now, 0.0)
--- a/src/persimmonsail/sidecars/workers.py
+++ b/src/persimmonsail/sidecars/workers.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkerTask:
-    """An attempt as the worker has it.
+    """An attempt as reported by the worker.
 
     ``phase`` is one of active, succeeded, failed, evicted, stopped.
     """
@@ -38,10 +38,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class WorkerView:
-    """A worker's capacity and all attempts it knows.
+    """A worker's capacity and all attempts on its record.
 
-    ``boot`` names the worker's process: another one has lost whatever
-    its predecessor ran. ``epochs`` are the highest by partition.
+    ``boot`` identifies the worker's process: a new one has lost all
+    that its predecessor ran. ``epochs`` are the highest by partition.
     """
 
     boot: str
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Renewal:
-    """What one call extends, bars and acknowledges.
+    """The attempts that one call extends, bars and acknowledges.
 
     ``until`` is on this process's monotonic clock; ``lease_seconds`` is
-    how long a start that was sent before may still be valid.
+    how long a start that was sent earlier may remain valid.
     """
 
     incarnation: str
@@ -72,27 +72,27 @@
 class Worker:
     """Use inside ``async with``; every call may raise.
 
-    A lease ends at a point on the worker's own clock. That of another
-    clock is converted with the time in the worker's last answer, as if
-    the answer had taken no time: the result is early, never late. A
-    call that is delayed on its way can therefore not extend a lease.
+    A lease ends at a time on the worker's own clock. Times of this
+    process's clock are converted with the clock reading in the worker's
+    last answer, as if the answer had taken no time: the result is early,
+    never late. A delayed call can therefore not extend a lease.
 
     Raises
     ------
     persimmonsail.exceptions.WorkerUnavailable
-        If the worker gave no answer; a start may have taken effect.
+        If the worker did not answer; a start may have taken effect.
     persimmonsail.exceptions.StaleIncarnation
         If a newer sidecar has taken this worker over.
     persimmonsail.exceptions.StaleEpoch
-        If the worker has obeyed a later epoch of the partition.
+        If the worker has accepted a later epoch of the partition.
     persimmonsail.exceptions.AttemptRefused
-        If the attempt is barred, not new, or its lease is over.
+        If the attempt is barred, not new, or its lease has expired.
     """
 
     def __init__(self, address: str, timeout: float) -> None:
         self.boot = ''
         self.incarnation = ''
-        self._offset = 0.0
+        self._clock_offset = 0.0
         self._client = httpx.AsyncClient(
             base_url=f'http://{address}', timeout=timeout, trust_env=False
         )
@@ -106,7 +106,7 @@
     async def take_over(
         self, incarnation: str, epochs: dict[int, int]
     ) -> WorkerView:
-        """Make this incarnation the only one the worker obeys."""
+        """Make the worker accept commands from this incarnation only."""
         body = {
             'incarnation': incarnation,
             'epochs': {str(key): epoch for key, epoch in epochs.items()},
@@ -115,49 +115,50 @@
 
     async def start(self, body: dict[str, t.Any], until: float) -> None:
         """Start an attempt under a lease."""
-        await self._call('start', {**body, 'until': self._convert(until)})
+        await self._call(
+            'start', {**body, 'until': self._to_worker_clock(until)}
+        )
 
     async def renew(self, renewal: Renewal) -> WorkerView:
-        """Extend the leases of attempts, and return all the worker has.
+        """Extend the leases of attempts, and return the worker's state.
 
-        Attempts that the worker does not know are barred by it: a start
-        delayed on the way would otherwise run after it was reported as
-        not run.
+        The worker bars attempts that it does not know: a delayed start
+        would otherwise run after it was reported as not run.
         """
         body = dataclasses.asdict(renewal)
-        body['until'] = self._convert(renewal.until)
+        body['until'] = self._to_worker_clock(renewal.until)
         return _read_view(await self._call('renew', body))
 
     async def stop(self, body: dict[str, t.Any]) -> WorkerTask | None:
         """Stop an attempt and return how it ended."""
-        found = (await self._call('stop', body))['task']
-        return WorkerTask(**found) if found else None
+        task = (await self._call('stop', body))['task']
+        return WorkerTask(**task) if task else None
 
     async def throttle(
         self, incarnation: str, task: str, speed: float
     ) -> None:
-        """Let a task run at a part of its full speed, from 0 to 1."""
+        """Limit a task to a fraction, from 0 to 1, of its full speed."""
         body = {'incarnation': incarnation, 'task': task, 'speed': speed}
         await self._call('throttle', body)
 
     async def list_usage(
         self, incarnation: str, after: int
     ) -> list[usage.Window]:
-        """Return the reports that have come since one with a number."""
+        """Return the usage reports after the given sequence number."""
         body = {'incarnation': incarnation, 'after': after}
-        found = await self._call('usage', body)
+        response = await self._call('usage', body)
         return [
             usage.Window(
                 report['sequence'],
-                report['begin'] - self._offset,
-                report['end'] - self._offset,
+                report['begin'] - self._clock_offset,
+                report['end'] - self._clock_offset,
                 tuple(usage.TaskUse(**use) for use in report['tasks']),
             )
-            for report in found['reports']
+            for report in response['reports']
         ]
 
-    def _convert(self, moment: float) -> float:
-        return moment + self._offset
+    def _to_worker_clock(self, local_time: float) -> float:
+        return local_time + self._clock_offset
 
     async def _call(
         self, name: str, body: dict[str, t.Any]
@@ -170,18 +171,18 @@
             ) from error
         if answer.status_code == httpx.codes.CONFLICT:
             refusal = answer.json()
-            self._note(refusal)
+            self._update_state(refusal)
             raise _REFUSALS[refusal['kind']](refusal['reason'])
         if answer.status_code != httpx.codes.OK:
             raise exceptions.WorkerUnavailable(f'{name}: {answer.text}')
-        found = answer.json()
-        self._note(found)
-        return found
+        content = answer.json()
+        self._update_state(content)
+        return content
 
-    def _note(self, answer: dict[str, t.Any]) -> None:
+    def _update_state(self, answer: dict[str, t.Any]) -> None:
         self.boot = answer['boot']
         self.incarnation = answer['incarnation']
-        self._offset = answer['now'] - time.monotonic()
+        self._clock_offset = answer['now'] - time.monotonic()
 
 
 def _read_view(body: dict[str, t.Any]) -> WorkerView:
--- a/tests/sidecars/test_attempts.py
+++ b/tests/sidecars/test_attempts.py
@@ -17,11 +17,11 @@
             window=10, clock=lambda: self.now, **options
         )
 
-    async def test_delayed_copy_of_a_forgotten_attempt_is_refused(self):
+    async def test_delayed_copy_of_an_evicted_attempt_is_refused(self):
         """An order runs a second time a minute after its answer.
 
-        A copy of its request was delayed for so long that the sidecar
-        has forgotten the attempt. Its issue time tells that it is old.
+        A copy of its request is delayed for so long that the sidecar has
+        evicted the attempt. The copy's issue time shows that it is old.
         """
         table = self.make_table()
         issued = self.now
@@ -32,13 +32,13 @@
             table.bar(f'other-{self.now}', self.now)
         self.assertTrue(table.is_expired(issued))
 
-    async def test_forgetting_early_refuses_what_was_issued_by_then(self):
-        """An order that was barred runs after a wave of others.
+    async def test_early_eviction_refuses_earlier_requests(self):
+        """A barred order runs after a burst of other attempts.
 
-        So many attempts came that records are dropped before their
-        time; whatever was issued no later than those is refused.
+        The number of attempts makes the table evict records early; every
+        request issued no later than those must be refused.
         """
-        table = self.make_table(kept_records=10)
+        table = self.make_table(max_records=10)
         table.bar('barred', self.now)
         for number in range(10):
             self.now += 1
@@ -50,16 +50,16 @@
     async def test_request_of_another_clock_is_refused(self):
         self.assertTrue(self.make_table().is_expired(self.now + 1))
 
-    async def test_running_attempt_is_never_forgotten(self):
-        table = self.make_table(kept_records=1)
+    async def test_running_attempt_is_never_evicted(self):
+        table = self.make_table(max_records=1)
         table.begin('long', self.now)
         for _ in range(20):
             self.now += 5_000
             table.bar(f'other-{self.now}', self.now)
         self.assertIsNotNone(table.find('long'))
 
-    async def test_answers_beyond_the_bound_are_dropped_as_unknown(self):
-        table = self.make_table(kept_bytes=10)
+    async def test_answers_beyond_the_limit_become_unknown(self):
+        table = self.make_table(max_bytes=10)
         for name in ('a', 'b', 'c'):
             table.end(table.begin(name, self.now), answer(b'12345'))
         self.assertEqual(
--- a/tests/sidecars/test_backends.py
+++ b/tests/sidecars/test_backends.py
@@ -7,13 +7,13 @@
 from persimmonsail.sidecars import backends
 from tests import base
 
-# Long enough for a busy machine to connect and send.
-PATIENCE = 2.0
+# Long enough to connect and send on a busy machine.
+TIMEOUT_SECONDS = 2.0
 
 
 @contextlib.asynccontextmanager
 async def open_silent_server():
-    """Serve an address that reads requests and never answers."""
+    """Open a server that reads requests and never answers."""
     received = anyio.Event()
 
     async def handle(stream) -> None:
@@ -33,11 +33,11 @@
 
 class BackendTest(base.TestCase):
     async def test_only_what_was_sent_has_an_unknown_outcome(self):
-        """A caller is told 'unknown' of an order that was never sent.
+        """An order that was never sent is reported as unknown.
 
-        The only connection is taken until the deadline of a second
-        request. The first one was sent and its answer does not come:
-        nobody knows whether that one ran.
+        The only connection is in use until the deadline of a second
+        request, which must be reported as not run. The first was sent
+        and gets no answer, so its outcome is unknown.
         """
         outcomes = {}
 
@@ -54,7 +54,7 @@
             backends.Backend(address, connections=1) as backend,
             anyio.create_task_group() as group,
         ):
-            group.start_soon(send, 'sent', PATIENCE)
+            group.start_soon(send, 'sent', TIMEOUT_SECONDS)
             await received.wait()
-            await send('waiting', PATIENCE / 20)
+            await send('waiting', TIMEOUT_SECONDS / 20)
         self.assertEqual({'sent': 'unknown', 'waiting': 'not run'}, outcomes)
--- a/tests/sidecars/test_colocation.py
+++ b/tests/sidecars/test_colocation.py
@@ -29,12 +29,11 @@
 @pytest.mark.processes
 class ColocationTest(base.TestCase):
     async def test_noisy_task_is_throttled_by_late_reports(self):
-        """A build that slows checks must be held down by itself.
+        """A build quadruples the latency of checks on its instance.
 
-        A user would see checks take four times as long while the build
-        runs. The worker's usage reports come half a second late, the
-        sidecar joins them with its requests' times, blames the build,
-        and lets it run slower.
+        The worker's usage reports arrive half a second late. The sidecar
+        joins them with its requests' service times, attributes the
+        slowdown to the build, and throttles only the build.
         """
         async with deployment.Deployment(self.make_directory()) as running:
             await running.start_store()
@@ -73,17 +72,17 @@
                     f'{base_url}/build/requests', json={}
                 )
                 check_seconds = 0.08
-                placed = await entry.wait_event('placement-choice')
+                placement = await entry.wait_event('placement-choice')
                 throttled = await sidecar.wait_event('throttle')
                 group.cancel_scope.cancel()
-            self.assertEqual('one', placed['chosen'])
-            self.assertIn('interference:', placed['terms'])
-            self.assertEqual(placed['task'], throttled['task'])
+            self.assertEqual('one', placement['chosen'])
+            self.assertIn('interference:', placement['terms'])
+            self.assertEqual(placement['task'], throttled['task'])
             self.assertEqual('check', throttled['victim'])
             self.assertIn('build:', throttled['terms'])
             speed = float(throttled['speed'])
             self.assertTrue(0.5 <= speed < 1.0, speed)
-            obeyed = await running.processes['worker-1'].wait_event(
-                'worker-throttled', task=placed['task']
+            applied = await running.processes['worker-1'].wait_event(
+                'worker-throttled', task=placement['task']
             )
-            self.assertAlmostEqual(speed, float(obeyed['reason']), places=4)
+            self.assertAlmostEqual(speed, float(applied['reason']), places=4)
--- a/tests/sidecars/test_execution.py
+++ b/tests/sidecars/test_execution.py
@@ -12,38 +12,38 @@
 from persimmonsail.sidecars import instance
 from tests import base
 
-# A guard that is gone shows as a wait for ever.
-SECONDS = 20.0
+# Without a guard, a test would wait indefinitely.
+TIMEOUT_SECONDS = 20.0
 
 
 class FakeBackend:
-    """Answers once it is let; counts what is in flight."""
+    """Answers once released; counts requests in flight."""
 
     def __init__(self) -> None:
         self.ran: list[str] = []
-        self.most = 0
-        self.now = 0
-        self.free = anyio.Event()
+        self.max_in_flight = 0
+        self.in_flight = 0
+        self.released = anyio.Event()
         self.started = anyio.Event()
         self.error: Exception | None = None
 
     async def send(self, request, body, content_type, timeout):
-        self.now += 1
-        self.most = max(self.most, self.now)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         self.started.set()
         try:
             if self.error:
                 raise self.error
             self.ran.append(request)
-            await self.free.wait()
+            await self.released.wait()
         finally:
-            self.now -= 1
+            self.in_flight -= 1
         return backends.BackendAnswer(200, b'{}', 'application/json')
 
 
 @contextlib.asynccontextmanager
 async def open_executor(**options):
-    section = settings.Sidecar.model_validate(
+    sidecar_settings = settings.Sidecar.model_validate(
         {
             'entries': '127.0.0.1:1',
             'worker': '127.0.0.1:1',
@@ -56,9 +56,11 @@
         commitments=admission.Commitments(admission.Size(64, 64, 0))
     )
     backend = FakeBackend()
-    with anyio.fail_after(SECONDS):
+    with anyio.fail_after(TIMEOUT_SECONDS):
         async with anyio.create_task_group() as group:
-            executor = execution.Executor(own, backend, section, group)
+            executor = execution.Executor(
+                own, backend, sidecar_settings, group
+            )
             yield executor, own, backend
             group.cancel_scope.cancel()
 
@@ -87,30 +89,29 @@
 
 class ExecutorTest(base.TestCase):
     async def test_refused_attempt_never_runs_later(self):
-        """A caller was told 'not run', and a second copy then ran.
+        """A second copy runs after the caller received 'not run'.
 
-        The first copy met a full queue. The second one arrives when
-        there is room.
+        The first copy is refused, as the backend server is leaving; the
+        second arrives when new work is accepted again.
         """
         async with open_executor(queue='0') as (executor, own, backend):
             request = make_request(own, 'a')
             own.backend_leaving = True
             first = await executor.execute(request)
             own.backend_leaving = False
-            backend.free.set()
+            backend.released.set()
             second = await executor.execute(request)
             self.assertEqual(control_pb2.NOT_RUN, first.verdict)
             self.assertEqual(control_pb2.NOT_RUN, second.verdict)
             self.assertEqual([], backend.ran)
 
     async def test_settled_attempt_never_runs_later(self):
-        """A caller was told 'not run', and the late request then ran.
+        """A late request runs after the caller received 'not run'.
 
-        The entry asked what became of the attempt before its request
-        arrived.
+        The entry settled the attempt before its request arrived.
         """
         async with open_executor() as (executor, own, backend):
-            backend.free.set()
+            backend.released.set()
             settled = await executor.settle(make_settle(own, 'a'))
             late = await executor.execute(make_request(own, 'a'))
             self.assertEqual(control_pb2.NOT_RUN, settled.verdict)
@@ -118,9 +119,10 @@
             self.assertEqual([], backend.ran)
 
     async def test_settlement_with_a_later_sidecar_is_unknown(self):
-        """A caller was told 'not run' of an order that had run.
+        """A caller receives 'not run' for an order that ran.
 
-        The sidecar that ran it is gone; the one asked is its successor.
+        The sidecar that ran it was replaced, and its successor settles
+        the attempt.
         """
         async with open_executor() as (executor, own, backend):
             settle = make_settle(own, 'a', incarnation='before')
@@ -129,7 +131,7 @@
 
     async def test_leaving_instance_or_backend_server_admits_nothing(self):
         async with open_executor() as (executor, own, backend):
-            backend.free.set()
+            backend.released.set()
             for field in ('leaving', 'backend_leaving'):
                 setattr(own, field, True)
                 request = make_request(own, field)
@@ -156,7 +158,7 @@
             self.assertEqual([], backend.ran)
 
     async def test_never_more_requests_than_slots_or_connections(self):
-        for options, most in (
+        for options, limit in (
             ({'slots': '3'}, 3),
             ({'slots': '8', 'connections': '5'}, 4),
         ):
@@ -167,19 +169,20 @@
                             executor.execute, make_request(own, f'{number}')
                         )
                     await anyio.wait_all_tasks_blocked()
-                    self.assertEqual(most, backend.now)
-                    self.assertEqual(most, own.busy_slots)
-                    backend.free.set()
-                self.assertEqual(most, backend.most)
+                    self.assertEqual(limit, backend.in_flight)
+                    self.assertEqual(limit, own.busy_slots)
+                    backend.released.set()
+                self.assertEqual(limit, backend.max_in_flight)
                 self.assertEqual(0, own.busy_slots)
                 self.assertEqual(0, own.queued)
                 self.assertEqual(admission.Size(), own.commitments.total)
 
-    async def test_work_goes_on_when_its_caller_is_gone(self):
-        """A slot stays taken for ever after a link broke.
+    async def test_work_continues_when_its_caller_disconnects(self):
+        """A slot is never released after a link breaks.
 
-        The library cancels the handler of a broken call. The work goes
-        on in the sidecar; its outcome is kept, its slot given back.
+        The RPC library cancels the handler of a broken call. The work
+        continues in the sidecar, which retains its outcome and releases
+        its slot.
         """
         async with open_executor() as (executor, own, backend):
             async with anyio.create_task_group() as group:
@@ -187,7 +190,7 @@
                 await backend.started.wait()
                 group.cancel_scope.cancel()
             self.assertEqual(1, own.busy_slots)
-            backend.free.set()
+            backend.released.set()
             reply = await executor.settle(
                 make_settle(own, 'a', wait_seconds=30)
             )
@@ -195,7 +198,7 @@
             self.assertEqual(0, own.busy_slots)
             self.assertEqual(admission.Size(), own.commitments.total)
 
-    async def test_cancelled_attempt_gives_its_slot_back(self):
+    async def test_cancelled_attempt_releases_its_slot(self):
         async with open_executor(slots='1') as (executor, own, backend):
             async with anyio.create_task_group() as group:
                 group.start_soon(executor.execute, make_request(own, 'a'))
@@ -211,7 +214,7 @@
                     )
                     reply = await executor.settle(settle)
                     self.assertEqual(verdict, reply.verdict)
-                # In the evidence, a stop's victim must not look so.
+                # A stop of the sidecar must not be logged like this.
                 self.assertEqual('no longer wanted', reply.reason)
             self.assertEqual(['a'], backend.ran)
             self.assertEqual(0, own.busy_slots)
@@ -227,9 +230,9 @@
             self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
 
     async def test_backlog_longer_than_the_deadline_refuses_at_once(self):
-        """A caller waits out its deadline in a queue to be refused.
+        """A caller is refused only after its deadline passed in the queue.
 
-        Observed service times tell that its turn comes too late.
+        Observed service times show that its slot would come too late.
         """
         async with open_executor(slots='1') as (executor, own, backend):
             async with anyio.create_task_group() as group:
@@ -240,5 +243,5 @@
                 reply = await executor.execute(request)
                 self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
                 self.assertGreater(reply.retry_after_seconds, 2.0)
-                backend.free.set()
+                backend.released.set()
             self.assertEqual(['a'], backend.ran)
--- a/tests/sidecars/test_supervisor.py
+++ b/tests/sidecars/test_supervisor.py
@@ -7,11 +7,11 @@
 
 class TicketTest(base.TestCase):
     async def test_delayed_renewal_extends_no_lease(self):
-        """A bid watcher runs twice.
+        """A watcher runs twice.
 
         A holder is frozen between the check of its own lease and its
-        send. Its follower waits the task's lease out and starts the
-        watcher elsewhere; then the delayed renewal arrives.
+        send. Its successor waits for the task's lease to expire and
+        starts the watcher elsewhere; then the delayed renewal arrives.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.start(instance.make_start('w'))
@@ -35,8 +35,8 @@
     async def test_start_with_an_old_ticket_never_runs(self):
         """A build that was reported as not run runs after all.
 
-        Its start is held up on the way for longer than the lease, and
-        arrives when the holder has started it elsewhere.
+        Its start is delayed for longer than the lease, and arrives when
+        the holder has started the build elsewhere.
         """
         instance = await instances.Instance().open()
         old = instance.read_clock() - instances.LEASE
@@ -49,9 +49,9 @@
         self.assertEqual(0, instance.own.commitments.total.cores)
 
     async def test_ticket_of_another_clock_counts_for_nothing(self):
-        """A watcher's lease lasts for hours after its holder's end.
+        """A watcher's lease lasts for hours after its holder has ended.
 
-        The ticket came from a machine that ran longer than this one.
+        The ticket is from a machine with a longer uptime than this one.
         """
         instance = await instances.Instance().open()
         future = instance.read_clock() + 3600
@@ -65,11 +65,11 @@
         await instance.supervisor.renew(renewal)
         self.assertEqual(deadline, instance.find_run('w').deadline)
 
-    async def test_frozen_sidecar_extends_nothing_on_waking(self):
-        """A watcher runs twice after its sidecar's pause.
+    async def test_frozen_sidecar_extends_nothing_on_resuming(self):
+        """A watcher runs twice after its sidecar was paused.
 
         The sidecar is frozen in its call to the worker; the request
-        reaches the worker only after the lease was waited out.
+        reaches the worker only after the lease has expired.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.start(instance.make_start('w'))
@@ -79,22 +79,22 @@
         async with anyio.create_task_group() as group:
             group.start_soon(instance.supervisor.renew, renewal)
             await instance.transport.arrived.wait()
-            # As seen when the frozen call goes on: the lease is over.
+            # The state when the frozen call resumes: the lease is over.
             run.deadline = instance.read_clock() - 1
             instance.transport.released.set()
         self.assertEqual('evicted', run.phase)
-        # However late it goes on, the worker was told a fixed end.
+        # The worker received a fixed end, however late the call resumes.
         self.assertLessEqual(run.deadline, renewal.ticket + instances.LEASE)
 
     async def test_start_that_reaches_the_worker_late_never_runs(self):
-        """A build runs though it was given up on.
+        """An abandoned build runs.
 
-        The sidecar is frozen between its check and its call, until the
+        The sidecar is frozen between its check and its call until the
         lease is over.
         """
         instance = await instances.Instance().open()
-        # The worker's clock is ahead: as if the call took that long.
-        instance.worker._offset -= instances.LEASE
+        # Shifts the worker's clock ahead, as if the call took a lease.
+        instance.worker._clock_offset -= instances.LEASE
         reply = await instance.supervisor.start(instance.make_start('b'))
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertNotIn('b', instance.server._runs)
@@ -104,8 +104,8 @@
     async def test_earlier_epoch_is_refused(self):
         """A watcher is moved twice, by two holders.
 
-        A frozen holder wakes after its follower has spoken to the
-        sidecar, and starts and renews as before.
+        A frozen holder resumes after its successor has contacted the
+        sidecar, and starts and renews tasks as before.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.renew(instance.make_renew(epoch=2))
@@ -121,11 +121,11 @@
         )
         self.assertFalse(stopped.accepted)
 
-    async def test_restarted_sidecar_knows_the_epochs(self):
-        """A frozen holder is obeyed by a restarted sidecar.
+    async def test_restarted_sidecar_restores_the_epochs(self):
+        """A restarted sidecar accepts commands of a frozen holder.
 
-        The follower spoke to the sidecar's predecessor only; the worker
-        has kept the epoch.
+        The holder's successor contacted only the sidecar's predecessor;
+        the worker has retained the epoch.
         """
         old = await instances.Instance().open()
         await old.supervisor.renew(old.make_renew(epoch=2))
@@ -134,24 +134,26 @@
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertEqual('a later epoch is known', reply.reason)
 
-    async def test_earlier_epoch_is_told_without_the_worker(self):
-        """A frozen holder goes on for as long as a worker is down.
+    async def test_earlier_epoch_is_reported_without_the_worker(self):
+        """A frozen holder continues for as long as a worker is down.
 
-        Only 'a later epoch is known' ends it; the worker can't say so.
+        Only 'a later epoch is known' ends it, which the worker cannot
+        report.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.renew(instance.make_renew(epoch=2))
-        follower = await instances.Instance(instance.server).open()
-        for found in (instance, follower):
-            found.cut_worker()
-            reply = await found.supervisor.renew(found.make_renew())
+        successor = await instances.Instance(instance.server).open()
+        for supervised in (instance, successor):
+            supervised.cut_worker()
+            reply = await supervised.supervisor.renew(supervised.make_renew())
             self.assertEqual('a later epoch is known', reply.reason)
 
     async def test_worker_refuses_an_earlier_epoch_itself(self):
-        """As before, but the sidecar's own check comes too early.
+        """The sidecar's own check passes before the epoch changes.
 
-        It was frozen after it, while its successor served the follower
-        and the worker; the incarnation does not tell in the new one.
+        The sidecar was frozen after the check, while its successor
+        served the next holder and the worker; the incarnation does not
+        show this.
         """
         instance = await instances.Instance().open()
         instance.server._epochs[0] = 2
@@ -171,8 +173,8 @@
     async def test_start_for_an_old_incarnation_never_runs(self):
         """A build runs though its sidecar's successor reported 'not run'.
 
-        The start was delayed on its way to the predecessor, and both
-        listen at the same address.
+        The start was sent to the predecessor and delayed; both listen
+        at the same address.
         """
         old = await instances.Instance().open()
         delayed = old.make_start('b')
@@ -181,11 +183,11 @@
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertNotIn('b', new.server._runs)
 
-    async def test_frozen_predecessor_is_not_obeyed(self):
+    async def test_frozen_predecessor_is_refused(self):
         """Two sidecars of one instance both start tasks.
 
         The old one was frozen, not dead, when it was replaced; it would
-        commit the instance's room a second time.
+        commit the instance's capacity a second time.
         """
         old = await instances.Instance().open()
         await instances.Instance(old.server).open()
@@ -196,9 +198,9 @@
         self.assertEqual({}, old.server._runs)
 
     async def test_renewal_with_another_incarnation_extends_nothing(self):
-        """A ticket of a predecessor is taken for a later time.
+        """A predecessor's ticket is read as a later time.
 
-        The instance was replaced as a whole; its new clock is behind.
+        The entire instance was replaced, and its new clock is behind.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.start(instance.make_start('w'))
@@ -210,8 +212,8 @@
         self.assertEqual(instance.own.incarnation, reply.incarnation)
         self.assertEqual(deadline, instance.find_run('w').deadline)
 
-    async def test_restarted_sidecar_commits_what_runs(self):
-        """An instance is committed twice over after a sidecar's restart."""
+    async def test_restarted_sidecar_commits_running_tasks(self):
+        """A sidecar's restart commits the instance's capacity twice."""
         old = await instances.Instance().open()
         await old.supervisor.start(old.make_start('b'))
         new = await instances.Instance(old.server).open()
@@ -222,8 +224,8 @@
     async def test_start_overtaken_by_the_question_never_runs(self):
         """A build that was reported as not run runs after all.
 
-        The start is stuck between sidecar and worker when the renewal
-        asks for it; the worker knows nothing of it, and says so.
+        The start is in transit between sidecar and worker when the
+        renewal queries it, and the worker reports it as absent.
         """
         instance = await instances.Instance().open()
         instance.transport.held = 'start'
@@ -236,30 +238,32 @@
         async with anyio.create_task_group() as group:
             group.start_soon(start)
             await instance.transport.arrived.wait()
-            asked = await instance.supervisor.renew(
+            renewed = await instance.supervisor.renew(
                 instance.make_renew(('b', 1))
             )
-            self.assertEqual(control_pb2.ABSENT, asked.states[0].phase)
+            self.assertEqual(control_pb2.ABSENT, renewed.states[0].phase)
             instance.transport.released.set()
         self.assertNotIn('b', instance.server._runs)
         self.assertEqual(control_pb2.NOT_RUN, replies[0].verdict)
 
     async def test_start_after_the_question_is_barred(self):
-        """As before, with the start stuck on its way to the sidecar."""
+        """The same with the start in transit to the sidecar."""
         instance = await instances.Instance().open()
         delayed = instance.make_start('b')
-        asked = await instance.supervisor.renew(instance.make_renew(('b', 1)))
-        self.assertEqual(control_pb2.ABSENT, asked.states[0].phase)
+        renewed = await instance.supervisor.renew(
+            instance.make_renew(('b', 1))
+        )
+        self.assertEqual(control_pb2.ABSENT, renewed.states[0].phase)
         reply = await instance.supervisor.start(delayed)
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertEqual('barred', reply.reason)
         self.assertNotIn('b', instance.server._runs)
 
-    async def test_start_under_way_keeps_its_commitment(self):
+    async def test_start_in_transit_retains_its_commitment(self):
         """An instance is committed beyond its processors.
 
-        Another partition's renewal reads the worker's list while a
-        start is on its way there, and finds nothing to commit.
+        Another partition's renewal reads the worker's tasks while a
+        start is in transit there, and finds nothing to commit.
         """
         instance = await instances.Instance().open()
         instance.transport.held = 'start'
@@ -276,8 +280,8 @@
     async def test_ended_attempt_is_kept_until_acknowledged(self):
         """A build's answer is lost with its holder.
 
-        The worker told the holder of the outcome, and the holder died
-        before its commit: the next one must be told again.
+        The worker reported the outcome to the holder, which died before
+        its commit; the worker must report it to the next holder too.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.start(instance.make_start('b'))
@@ -298,7 +302,7 @@
         self.assertEqual(0, instance.own.commitments.total.cores)
 
     async def test_acknowledged_attempt_never_starts_again(self):
-        """A finished build runs again from a start that was doubled."""
+        """A finished build runs again from a duplicate of its start."""
         instance = await instances.Instance().open()
         start = instance.make_start('b')
         await instance.supervisor.start(start)
@@ -314,9 +318,9 @@
     async def test_restarted_worker_is_told_by_its_boot(self):
         """A build runs twice after its worker's restart.
 
-        The new process knows no attempt; 'absent' does not mean that
-        the build never ran. A start claimed for the old process must
-        not run in the new one either.
+        The new process has no record of attempts, so 'absent' does not
+        mean that the build never ran. A start claimed for the old
+        process must not run in the new one either.
         """
         instance = await instances.Instance().open()
         boot = instance.worker.boot
--- a/tests/sidecars/test_supervisor_refusals.py
+++ b/tests/sidecars/test_supervisor_refusals.py
@@ -1,7 +1,7 @@
-"""What a sidecar refuses by itself, whatever its worker would say.
+"""Refusals by the sidecar itself, independent of its worker.
 
-Several checks of the sidecar stand before one of the worker's. Each
-test here leaves the worker out, so that the sidecar's own one shows.
+Several checks of the sidecar precede an equivalent check of the worker.
+Each test here isolates the sidecar's check from the worker's.
 """
 
 from persimmonsail import control_pb2
@@ -18,10 +18,10 @@
         self.assertNotIn('b', instance.server._runs)
 
     async def test_earlier_epoch_is_refused_without_the_worker(self):
-        """A holder can't tell whether its follower's watcher runs.
+        """A frozen holder's start gets no definite answer.
 
-        The frozen holder's start is refused while the worker is out of
-        reach: the sidecar knows the later epoch, and need not ask.
+        The worker is unreachable, but the sidecar has recorded the later
+        epoch and can refuse the start without the worker.
         """
         instance = await instances.Instance().open()
         await instance.supervisor.renew(instance.make_renew(epoch=2))
@@ -31,8 +31,8 @@
     async def test_ticket_of_another_clock_is_refused(self):
         """A watcher runs twice after its sidecar's instance rebooted.
 
-        A ticket of the clock before the reboot lies far ahead of the
-        new one; a lease granted on it would last for days.
+        A ticket from before the reboot is far ahead of the new clock; a
+        lease granted on it would last for days.
         """
         instance = await instances.Instance().open()
         ahead = instance.read_clock() + 1000
@@ -47,9 +47,8 @@
     async def test_lease_of_a_start_counts_from_its_ticket(self):
         """A watcher runs twice.
 
-        Its start was held up on the way for most of the lease; were the
-        lease counted from its arrival, it would outlast the time that
-        the holder waits out.
+        Its start is delayed for most of the lease; a lease counted from
+        its arrival would outlast the time that the holder waits for.
         """
         instance = await instances.Instance().open()
         ticket = instance.read_clock() - instances.LEASE + 1
@@ -60,9 +59,9 @@
         self.assertLessEqual(deadline, ticket + instances.LEASE)
 
     async def test_replaced_revision_is_refused(self):
-        """A workload that an operator took out starts once more.
+        """A workload that an operator removed is started again.
 
-        An entry with a silent watch still has the replaced catalogue.
+        An entry whose watch went silent still has the old catalogue.
         """
         instance = await instances.Instance().open()
         instance.own.note_revision(2)
@@ -83,10 +82,10 @@
         await self.assert_not_run(instance, 'leaving')
 
     async def test_epochs_outlast_restarts_of_sidecar_and_worker(self):
-        """A frozen holder is obeyed after two restarts.
+        """A frozen holder's commands are accepted after two restarts.
 
-        The sidecar restarts and learns the epoch from its worker; the
-        worker restarts and knows nothing; the holder wakes.
+        The sidecar restarts and reads the epoch from its worker; the
+        worker restarts without a record of it; the holder resumes.
         """
         first = await instances.Instance().open()
         await first.supervisor.renew(first.make_renew(epoch=2))
@@ -96,7 +95,7 @@
         await self.assert_not_run(second, 'a later epoch is known')
 
     async def test_epochs_outlast_restarts_of_worker_and_sidecar(self):
-        """The same, the worker first: the sidecar has told it."""
+        """The same, but the worker restarts first, then the sidecar."""
         first = await instances.Instance().open()
         await first.supervisor.renew(first.make_renew(epoch=2))
         first.replace_worker()
--- a/tools/guards_requests.py
+++ b/tools/guards_requests.py
@@ -13,7 +13,7 @@
         'I5',
         _EXECUTION,
         'return self._attempts.bar(request.attempt, request.issued_ms)',
-        "return _refuse_other(control_pb2.ExecuteRequest(), 'barred')",
+        "return _refuse_unrecorded(control_pb2.ExecuteRequest(), 'barred')",
         _EXECUTION_TESTS,
     ),
     guard.Guard(
@@ -22,15 +22,15 @@
         _EXECUTION,
         'reply = self._attempts.bar('
         'request.attempt, request.issued_ms, reason)',
-        'reply = _refuse_other(request, reason)',
+        'reply = _refuse_unrecorded(request, reason)',
         _EXECUTION_TESTS,
     ),
     guard.Guard(
         'age of a request',
         'I6',
         _EXECUTION,
-        'if expired:\n            return _refuse_other(',
-        'if False:\n            return _refuse_other(',
+        'if expired:\n            return _refuse_unrecorded(',
+        'if False:\n            return _refuse_unrecorded(',
         _EXECUTION_TESTS,
     ),
     guard.Guard(
@@ -47,8 +47,8 @@
         'I6',
         _EXECUTION,
         'if request.incarnation != self._own.incarnation:\n'
-        '            return _refuse_other(',
-        'if False:\n            return _refuse_other(',
+        '            return _refuse_unrecorded(',
+        'if False:\n            return _refuse_unrecorded(',
         _EXECUTION_TESTS,
     ),
     guard.Guard(
@@ -56,8 +56,8 @@
         'I5',
         _EXECUTION,
         'if request.incarnation != self._own.incarnation:\n'
-        '            return _unknown(',
-        'if False:\n            return _unknown(',
+        '            return _make_unknown_reply(',
+        'if False:\n            return _make_unknown_reply(',
         _EXECUTION_TESTS,
     ),
     guard.Guard(
@@ -183,7 +183,7 @@
         'whole answers only',
         'I4',
         'src/persimmonsail/sidecars/backends.py',
-        'if len(whole) > self._max_answer_bytes:',
+        'if len(received) > self._max_answer_bytes:',
         'if False:',
         (
             'tests/test_quick_processes.py::OutOfOrderTest'
