--- a/tests/sidecars/test_execution.py
+++ b/tests/sidecars/test_execution.py
@@ -23,7 +23,7 @@
         self.ran: list[str] = []
         self.max_in_flight = 0
         self.in_flight = 0
-        self.released = anyio.Event()
+        self.free = anyio.Event()
         self.started = anyio.Event()
         self.error: Exception | None = None
 
@@ -35,7 +35,7 @@
             if self.error:
                 raise self.error
             self.ran.append(request)
-            await self.released.wait()
+            await self.free.wait()
         finally:
             self.in_flight -= 1
         return backends.BackendAnswer(200, b'{}', 'application/json')
@@ -99,7 +99,7 @@
             own.backend_leaving = True
             first = await executor.execute(request)
             own.backend_leaving = False
-            backend.released.set()
+            backend.free.set()
             second = await executor.execute(request)
             self.assertEqual(control_pb2.NOT_RUN, first.verdict)
             self.assertEqual(control_pb2.NOT_RUN, second.verdict)
@@ -111,7 +111,7 @@
         The entry settled the attempt before its request arrived.
         """
         async with open_executor() as (executor, own, backend):
-            backend.released.set()
+            backend.free.set()
             settled = await executor.settle(make_settle(own, 'a'))
             late = await executor.execute(make_request(own, 'a'))
             self.assertEqual(control_pb2.NOT_RUN, settled.verdict)
@@ -131,7 +131,7 @@
 
     async def test_leaving_instance_or_backend_server_admits_nothing(self):
         async with open_executor() as (executor, own, backend):
-            backend.released.set()
+            backend.free.set()
             for field in ('leaving', 'backend_leaving'):
                 setattr(own, field, True)
                 request = make_request(own, field)
@@ -171,7 +171,7 @@
                     await anyio.wait_all_tasks_blocked()
                     self.assertEqual(limit, backend.in_flight)
                     self.assertEqual(limit, own.busy_slots)
-                    backend.released.set()
+                    backend.free.set()
                 self.assertEqual(limit, backend.max_in_flight)
                 self.assertEqual(0, own.busy_slots)
                 self.assertEqual(0, own.queued)
@@ -190,7 +190,7 @@
                 await backend.started.wait()
                 group.cancel_scope.cancel()
             self.assertEqual(1, own.busy_slots)
-            backend.released.set()
+            backend.free.set()
             reply = await executor.settle(
                 make_settle(own, 'a', wait_seconds=30)
             )
@@ -243,5 +243,5 @@
                 reply = await executor.execute(request)
                 self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
                 self.assertGreater(reply.retry_after_seconds, 2.0)
-                backend.released.set()
+                backend.free.set()
             self.assertEqual(['a'], backend.ran)
