--- a/src/persimmonsail/callers/entry.py
+++ b/src/persimmonsail/callers/entry.py
@@ -55,7 +55,7 @@
         self.settings = settings
         self.view = revisions.View(settings.entry.freshness)
         self.fleet = fleet_module.Fleet(settings.links.silence)
-        self.knowledge = planner.Knowledge()
+        self.learned_state = planner.LearnedState()
         self.links = links_module.Links(
             links_module.describe_limits(settings.links)
         )
@@ -180,7 +180,7 @@
             lease,
             partitions.promises.id,
             partitions.list_members,
-            self.knowledge,
+            self.learned_state,
             self.turns,
         )
 
--- a/src/persimmonsail/callers/quick.py
+++ b/src/persimmonsail/callers/quick.py
@@ -64,7 +64,7 @@
             fleet.estimator,
             time.monotonic,
             generator,
-            routing.DISTANCE_SECONDS,
+            routing.CROSS_ZONE_RTT_SECONDS,
         )
         self._claims = claims
         self._shedder = shedder or shedding.Shedder(fleet, generator)
@@ -152,7 +152,7 @@
             reply.verdict == control_pb2.NOT_RUN
             and reply.reason in _NOT_OVERLOAD_REASONS
         )
-        return is_free or self._budget.spend()
+        return is_free or self._budget.try_acquire()
 
     async def _send_claimed(
         self, request: sending.QuickRequest, key: str, fingerprint: str
@@ -268,7 +268,7 @@
         return reply
 
     def _start_hedge(self, request, tried, group, run) -> int:
-        if not self._budget.spend():
+        if not self._budget.try_acquire():
             return 0
         second = self._choose(request, tried)
         if second is None:
--- a/src/persimmonsail/sidecars/colocation.py
+++ b/src/persimmonsail/sidecars/colocation.py
@@ -140,7 +140,7 @@
         }
 
     async def _act(self) -> None:
-        situation = ladder_module.Situation(
+        situation = ladder_module.InstanceSnapshot(
             instance=self._own.incarnation,
             tasks=tuple(
                 ladder_module.RunningTask(*task)
--- a/src/persimmonsail/sidecars/execution.py
+++ b/src/persimmonsail/sidecars/execution.py
@@ -113,7 +113,7 @@
         return reply
 
     def _suggest_retry_after(self) -> float:
-        return self._backlog.suggest_return(
+        return self._backlog.suggest_retry_delay(
             self._own.busy_slots, self._own.queued
         )
 
--- a/src/persimmonsail/sidecars/supervisor.py
+++ b/src/persimmonsail/sidecars/supervisor.py
@@ -81,7 +81,7 @@
         reason = self._find_refusal(request)
         commitment = _name_commitment(request.task, request.attempt)
         size = admission.read_size(request.size)
-        limit = admission.leave_headroom(self._own.commitments.capacity)
+        limit = admission.subtract_headroom(self._own.commitments.capacity)
         if not reason and not self._own.commitments.try_commit(
             commitment, size, limit
         ):
--- a/src/persimmonsail/sidecars/workers.py
+++ b/src/persimmonsail/sidecars/workers.py
@@ -152,7 +152,7 @@
                 report['sequence'],
                 report['begin'] - self._clock_offset,
                 report['end'] - self._clock_offset,
-                tuple(usage.TaskUse(**use) for use in report['tasks']),
+                tuple(usage.TaskUsage(**use) for use in report['tasks']),
             )
             for report in response['reports']
         ]
--- a/tests/callers/test_quick.py
+++ b/tests/callers/test_quick.py
@@ -27,12 +27,12 @@
 
         While no request succeeds, the budget is used up and stays so.
         """
-        budget = retries.FractionBudget(trickle=0, clock=lambda: 0.0)
-        allowed = sum(budget.spend() for _ in range(1000))
+        budget = retries.FractionBudget(per_second=0, clock=lambda: 0.0)
+        allowed = sum(budget.try_acquire() for _ in range(1000))
         self.assertEqual(10, allowed)
         for _ in range(200):
             budget.note_success()
-        self.assertEqual(20, sum(budget.spend() for _ in range(1000)))
+        self.assertEqual(20, sum(budget.try_acquire() for _ in range(1000)))
 
 
 class HedgingTest(base.TestCase):
@@ -51,7 +51,9 @@
         estimate = backlog.Backlog(8, random.Random(1))
         estimate.note_service(0.8)
         for queued in (8, 80):
-            times = {estimate.suggest_return(8, queued) for _ in range(50)}
+            times = {
+                estimate.suggest_retry_delay(8, queued) for _ in range(50)
+            }
             expected = (8 + queued) * 0.8 / 8
             self.assertGreater(len(times), 40)
             self.assertGreaterEqual(min(times), expected * 0.75)
