--- a/src/persimmonsail/addresses.py
+++ b/src/persimmonsail/addresses.py
@@ -44,7 +44,7 @@
     return sock
 
 
-def name_of(sock: socket.socket) -> str:
+def format_address(sock: socket.socket) -> str:
     """Return the ``host:port`` that a socket is bound to."""
     host, port = sock.getsockname()[:2]
     return f'{host}:{port}'
--- a/src/persimmonsail/answers.py
+++ b/src/persimmonsail/answers.py
@@ -37,7 +37,7 @@
     problem: problems.Problem, request_id: str
 ) -> responses.Response:
     """Count a problem and return its response."""
-    metrics.REFUSALS.increase(problem.title, problem.work)
+    metrics.REFUSALS.increment(problem.title, problem.work)
     return problems.respond(problem, request_id)
 
 
--- a/src/persimmonsail/auditing/audit_tasks.py
+++ b/src/persimmonsail/auditing/audit_tasks.py
@@ -244,4 +244,4 @@
     been restarted elsewhere by then and must not be resumed again.
     """
     reported_late = run.ended.time > run.latest_expiry
-    return reported_late and end.reason == records.LEASE_OVER
+    return reported_late and end.reason == records.LEASE_EXPIRED
--- a/src/persimmonsail/bookkeeping/commits.py
+++ b/src/persimmonsail/bookkeeping/commits.py
@@ -5,8 +5,8 @@
 import anyio
 
 from persimmonsail.bookkeeping import ledger as ledger_module
+from persimmonsail.bookkeeping import ratelimits
 from persimmonsail.bookkeeping import records
-from persimmonsail.bookkeeping import turns as turns_module
 from persimmonsail import exceptions
 from persimmonsail import logs
 
@@ -43,7 +43,9 @@
     """
 
     def __init__(
-        self, ledger: ledger_module.Ledger, rate_limiter: turns_module.Turns
+        self,
+        ledger: ledger_module.Ledger,
+        rate_limiter: ratelimits.RateLimiter,
     ) -> None:
         self._ledger = ledger
         self._rate_limiter = rate_limiter
--- a/src/persimmonsail/bookkeeping/ledger.py
+++ b/src/persimmonsail/bookkeeping/ledger.py
@@ -102,8 +102,8 @@
         slot = position % SLOTS
         await self._write_slot(slot, text, batch)
         self._apply_batch(batch, text)
-        metrics.LEDGER_COMMITS.increase()
-        metrics.LEDGER_RECORDS.increase(by=len(items))
+        metrics.LEDGER_COMMITS.increment()
+        metrics.LEDGER_RECORDS.increment(by=len(items))
         self._log_batch('ledger-commit', batch, text)
         return batch
 
--- a/src/persimmonsail/bookkeeping/turns.py
+++ b/src/persimmonsail/bookkeeping/ratelimits.py
@@ -11,7 +11,7 @@
 import anyio
 
 
-class Turns:
+class RateLimiter:
     """Spaces out commits, in the order in which they are requested.
 
     Parameters
--- a/src/persimmonsail/bookkeeping/records.py
+++ b/src/persimmonsail/bookkeeping/records.py
@@ -8,7 +8,7 @@
 import pydantic
 
 # Reason for abandoning an attempt on an unreachable instance.
-LEASE_OVER = 'lease over'
+LEASE_EXPIRED = 'lease over'
 
 
 class TaskPhase(enum.StrEnum):
--- a/src/persimmonsail/callers/entry.py
+++ b/src/persimmonsail/callers/entry.py
@@ -13,7 +13,7 @@
 
 from persimmonsail import addresses
 from persimmonsail.bookkeeping import ledger
-from persimmonsail.bookkeeping import turns
+from persimmonsail.bookkeeping import ratelimits
 from persimmonsail.callers import claims
 from persimmonsail.callers import gateway
 from persimmonsail.callers import quick
@@ -57,15 +57,17 @@
         self.fleet = fleet_module.Fleet(settings.links.silence)
         self.learned_state = planner.LearnedState()
         self.links = links_module.Links(
-            links_module.describe_limits(settings.links)
+            links_module.make_limits(settings.links)
         )
         self.leaving = False
         self._warm_at = time.monotonic() + settings.entry.warmup
         self.stop = shutdown.Stop()
         self.final_stop = shutdown.Stop()
-        self.calls = shutdown.Calls()
+        self.calls = shutdown.CallTracker()
         self.store = _open_store(settings.store)
-        self.turns = turns.Turns(settings.entry.commit_interval)
+        self.commit_rate_limiter = ratelimits.RateLimiter(
+            settings.entry.commit_interval
+        )
         self.follower = follower_module.Follower(
             self.store, self.view, settings.entry.catalogue_poll
         )
@@ -108,12 +110,12 @@
             self.links,
             lambda: self.partitions.entries,
         )
-        self.view.witness = self.peers.find_agreement
+        self.view.witness = self.peers.find_confirmed_since
 
     async def run_catalogue_updates(self) -> None:
         """Keep the catalogue view up to date until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(looplag.watch)
+            group.start_soon(looplag.monitor)
             group.start_soon(self.follower.run)
             group.start_soon(self.peers.run)
             group.start_soon(
@@ -130,7 +132,7 @@
             catalogue is the latest. A stopping entry still serves
             requests that arrive before its listener closes.
         """
-        reason = self.find_unready() and self._find_catalogue_problem()
+        reason = self.find_unready_reason() and self._find_catalogue_problem()
         if reason:
             raise problems.Problem(
                 503,
@@ -140,7 +142,7 @@
                 _RETRY_AFTER_SECONDS,
             )
 
-    def find_unready(self) -> str:
+    def find_unready_reason(self) -> str:
         """Return why this entry is not ready; empty if it is."""
         if self.leaving:
             return 'the entry is stopping'
@@ -181,13 +183,13 @@
             partitions.promises.id,
             partitions.list_members,
             self.learned_state,
-            self.turns,
+            self.commit_rate_limiter,
         )
 
     async def Link(self, stream) -> None:
         """Receive a sidecar's reports and answer each with a notice."""
         with self.calls.track():
-            await self.final_stop.run_until_begun(self._serve_link, stream)
+            await self.final_stop.run_until_stop(self._serve_link, stream)
 
     async def _serve_link(self, stream) -> None:
         # A link can go silent permanently; its sidecar then reconnects,
@@ -243,14 +245,14 @@
         """Accept a task of a partition held here."""
         request = await stream.recv_message()
         with self.calls.track():
-            await stream.send_message(await self.tasks.submit_here(request))
+            await stream.send_message(await self.tasks.submit_local(request))
 
     async def Query(self, stream) -> None:
         """Return the state of a task of a partition held here."""
         request = await stream.recv_message()
         with self.calls.track():
-            reply = await self.stop.wait_unless_begun(
-                lambda seconds: self.tasks.query_here(
+            reply = await self.stop.wait_unless_stopping(
+                lambda seconds: self.tasks.query_local(
                     _copy_with_wait(request, seconds)
                 ),
                 request.wait_seconds,
@@ -261,7 +263,7 @@
         """Cancel a task of a partition held here."""
         request = await stream.recv_message()
         with self.calls.track():
-            await stream.send_message(await self.tasks.cancel_here(request))
+            await stream.send_message(await self.tasks.cancel_local(request))
 
     async def Status(self, stream) -> None:
         """Report this entry's status to an operator."""
@@ -295,7 +297,7 @@
 
 
 def _open_store(settings: settings_module.Store) -> store_module.Store:
-    return store_module.open_kind(
+    return store_module.open_adapter(
         settings.kind, settings.address, settings.timeout
     )
 
@@ -305,7 +307,7 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with Entry(settings) as entry:
             sock = addresses.bind(settings.process.control)
-            control = addresses.name_of(sock)
+            control = addresses.format_address(sock)
             entry.open_partitions(
                 settings.process.control_advertised or control
             )
--- a/src/persimmonsail/callers/gateway.py
+++ b/src/persimmonsail/callers/gateway.py
@@ -239,7 +239,7 @@
     async def _wait_task(
         self, task: str, seconds: float
     ) -> control_pb2.TaskReply:
-        return await self._entry.stop.wait_unless_begun(
+        return await self._entry.stop.wait_unless_stopping(
             lambda remaining: self._entry.tasks.query(task, remaining),
             seconds,
         )
@@ -266,7 +266,7 @@
     async def _get_ready(
         self, request: requests.Request
     ) -> responses.Response:
-        reason = self._entry.find_unready()
+        reason = self._entry.find_unready_reason()
         status = 503 if reason else 200
         return responses.PlainTextResponse(reason or 'ready', status)
 
--- a/src/persimmonsail/callers/gauges.py
+++ b/src/persimmonsail/callers/gauges.py
@@ -31,6 +31,6 @@
         metrics.Gauge(
             'persimmonsail_ready',
             'One if callers may be sent here.',
-            lambda: not entry.find_unready(),
+            lambda: not entry.find_unready_reason(),
         ),
     )
--- a/src/persimmonsail/callers/quick.py
+++ b/src/persimmonsail/callers/quick.py
@@ -118,7 +118,7 @@
             if instance is None:
                 break
             if tried:
-                metrics.RETRIES.increase(request.workload)
+                metrics.RETRIES.increment(request.workload)
             tried.add(instance.name)
             if reason := self._view.find_staleness():
                 refusals.append(_make_stale_reply(reason))
--- a/src/persimmonsail/callers/sending.py
+++ b/src/persimmonsail/callers/sending.py
@@ -126,7 +126,7 @@
         finally:
             if instance is not None:
                 instance.outstanding -= 1
-        metrics.ATTEMPTS.increase(control_pb2.Verdict.Name(reply.verdict))
+        metrics.ATTEMPTS.increment(control_pb2.Verdict.Name(reply.verdict))
         if reply.verdict == control_pb2.ANSWERED:
             seconds = time.monotonic() - started_at
             self._hedging.note_latency(request.workload, seconds)
--- a/src/persimmonsail/catalogues/catalogue.py
+++ b/src/persimmonsail/catalogues/catalogue.py
@@ -95,7 +95,7 @@
         With every finding of the text.
     """
     collector = findings.Collector(f'catalogue in {file}')
-    places = findings.Places(file, text)
+    places = findings.LineIndex(file, text)
     if len(text.encode()) > MAX_BYTES:
         collector.add(places.find(), f'more than {MAX_BYTES} bytes')
     parser = findings.read_ini(file, text, collector)
@@ -114,7 +114,7 @@
                 dict(parser[section])
             )
         except pydantic.ValidationError as error:
-            collector.add_validation(places, section, error, model)
+            collector.add_validation_errors(places, section, error, model)
     _check_names(parser, places, collector)
     _check_owners(parser, places, collector)
     collector.raise_if_any()
--- a/src/persimmonsail/findings.py
+++ b/src/persimmonsail/findings.py
@@ -15,14 +15,14 @@
 class Finding(exceptions.PersimmonsailError):
     """One error in a file, with its location and what is allowed."""
 
-    def __init__(self, location: 'Place', text: str) -> None:
+    def __init__(self, location: 'Location', text: str) -> None:
         super().__init__(f'{location}: {text}')
         self.location = location
         self.text = text
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class Location:
     """Location of a finding; lines count from one, zero is unknown."""
 
     file: str
@@ -41,11 +41,11 @@
 class Duplicate:
     """A section or option that occurs a second time."""
 
-    location: Place
+    location: Location
     first_line: int
 
 
-class Places:
+class LineIndex:
     """Index of the lines of sections and options in INI text."""
 
     _SECTION = re.compile(r'^\[(?P<name>[^]]+)\]')
@@ -68,14 +68,14 @@
         lines = self._lines.setdefault(section, {})
         first = lines.setdefault(option, number)
         if first != number:
-            location = Place(self.file, number, section, option)
+            location = Location(self.file, number, section, option)
             self.duplicates.append(Duplicate(location, first))
 
-    def find(self, section: str = '', option: str = '') -> Place:
+    def find(self, section: str = '', option: str = '') -> Location:
         """Return the location of an option, else of its section."""
         lines = self._lines.get(section, {})
         line = lines.get(option, lines.get('', 0))
-        return Place(self.file, line, section, option)
+        return Location(self.file, line, section, option)
 
 
 class Collector:
@@ -85,13 +85,13 @@
         self._title = title
         self._findings: list[Finding] = []
 
-    def add(self, location: Place, text: str) -> None:
+    def add(self, location: Location, text: str) -> None:
         """Add one finding."""
         self._findings.append(Finding(location, text))
 
-    def add_validation(
+    def add_validation_errors(
         self,
-        line_index: Places,
+        line_index: LineIndex,
         section: str,
         error: pydantic.ValidationError,
         model: type[pydantic.BaseModel],
@@ -142,7 +142,7 @@
         line = data.count(b'\n', 0, error.start) + 1
         collector = Collector(f'text in {path}')
         collector.add(
-            Place(str(path), line),
+            Location(str(path), line),
             f'byte 0x{data[error.start]:02x} is not UTF-8; allowed: UTF-8',
         )
         collector.raise_if_any()
@@ -171,7 +171,7 @@
     configparser.ConfigParser
         The sections and options that could be parsed.
     """
-    for duplicate in Places(file, text).duplicates:
+    for duplicate in LineIndex(file, text).duplicates:
         kind = 'option' if duplicate.location.option else 'section'
         collector.add(
             duplicate.location,
@@ -190,7 +190,7 @@
         lines = text.split('\n')
         for number in numbers:
             collector.add(
-                Place(file, number),
+                Location(file, number),
                 f'syntax error at {lines[number - 1].strip()!r}; allowed: '
                 '[section], then option = value, or a comment after ; or #',
             )
--- a/src/persimmonsail/httpclient.py
+++ b/src/persimmonsail/httpclient.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class Response:
     """A response with its complete body."""
 
     status: int
@@ -79,7 +79,7 @@
         body: t.Any = None,
         headers: t.Mapping[str, str] | None = None,
         timeout: float | None = None,
-    ) -> Answer:
+    ) -> Response:
         """Send a request and return the response.
 
         Parameters
@@ -243,7 +243,9 @@
         self._state = h11.Connection(h11.CLIENT)
         self._last_used_at = 0.0
 
-    async def exchange(self, request: _Request, deadline: _Deadline) -> Answer:
+    async def exchange(
+        self, request: _Request, deadline: _Deadline
+    ) -> Response:
         """Send a request and read the complete response."""
         data = self._state.send(request.head) or b''
         if request.body:
@@ -261,7 +263,7 @@
             elif isinstance(event, h11.Data):
                 content.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                return Answer(status, b''.join(content))
+                return Response(status, b''.join(content))
 
     async def _receive(self, deadline: _Deadline) -> None:
         try:
--- a/src/persimmonsail/httpserver.py
+++ b/src/persimmonsail/httpserver.py
@@ -32,7 +32,7 @@
         self._app = app
         self._idle_timeout = idle
         self._socket = addresses.bind(address)
-        self.address = addresses.name_of(self._socket)
+        self.address = addresses.format_address(self._socket)
         self._drain_timeout = drain
         self._stop_requested = anyio.Event()
         self._stopped = anyio.Event()
--- a/src/persimmonsail/httpstore.py
+++ b/src/persimmonsail/httpstore.py
@@ -121,7 +121,7 @@
                 f'/v1/{name}', json=body, timeout=timeout or self._timeout
             )
         except httpx.HTTPError as error:
-            metrics.STORE_CALLS.increase(name, 'no-answer')
+            metrics.STORE_CALLS.increment(name, 'no-answer')
             raise exceptions.StoreUnavailable(
                 f'{name}: {type(error).__name__}'
             ) from error
@@ -140,7 +140,7 @@
 
 def _record_call(name: str, status: int, seconds: float) -> None:
     outcome = _OUTCOMES.get(status, 'error')
-    metrics.STORE_CALLS.increase(name, outcome)
+    metrics.STORE_CALLS.increment(name, outcome)
     # A watch blocks by design, so its time is no latency of the store.
     if name != 'watch':
         metrics.STORE_SECONDS.record(seconds, name)
--- a/src/persimmonsail/jobs/crashes.py
+++ b/src/persimmonsail/jobs/crashes.py
@@ -330,7 +330,7 @@
 ) -> None:
     crashes = task.state.crashes
     others = [other.task for other in crash.runs if other.task != run.task]
-    metrics.CRASHES_COUNTED.increase(task.job.queue)
+    metrics.CRASHES_COUNTED.increment(task.job.queue)
     logs.write_event(
         'crash-counted',
         task=run.task,
--- a/src/persimmonsail/jobs/election.py
+++ b/src/persimmonsail/jobs/election.py
@@ -118,7 +118,7 @@
             await self._campaign(page.revision, item.revision)
             return
         with contextlib.suppress(exceptions.HistoryLost):
-            await self._store.follow(
+            await self._store.watch_changes(
                 record.LEADER, page.revision, _WATCH_SECONDS
             )
 
@@ -163,7 +163,7 @@
         )
         deadline = anyio.current_time() + delay
         try:
-            observed = await self._store.follow(
+            observed = await self._store.watch_changes(
                 record.LEADER, read_revision, delay
             )
         except exceptions.HistoryLost:
--- a/src/persimmonsail/jobs/inbox.py
+++ b/src/persimmonsail/jobs/inbox.py
@@ -53,7 +53,7 @@
     async def _follow(self, revision: int) -> None:
         while True:
             try:
-                response = await self._store.follow(
+                response = await self._store.watch_changes(
                     record.INBOX, revision, _WATCH_SECONDS
                 )
             except exceptions.HistoryLost:
--- a/src/persimmonsail/links.py
+++ b/src/persimmonsail/links.py
@@ -50,7 +50,7 @@
     connect: float = 1.0
 
 
-def describe_limits(settings: settings_module.Links) -> Limits:
+def make_limits(settings: settings_module.Links) -> Limits:
     """Return the limits configured in a process's settings."""
     return Limits(settings.heartbeat, settings.probe, settings.connect)
 
@@ -166,7 +166,7 @@
                 return await self._watch_call(link, call, message)
         except _CALL_ERRORS as error:
             self._handle_failure(link, error)
-            metrics.LINKS_LOST.increase(method)
+            metrics.LINKS_LOST.increment(method)
             name = type(error).__name__
             raise exceptions.LinkLost(f'{method} {address}: {name}') from error
 
--- a/src/persimmonsail/looplag.py
+++ b/src/persimmonsail/looplag.py
@@ -16,7 +16,7 @@
 _WARNING_LAG_SECONDS = 0.25
 
 
-async def watch() -> None:
+async def monitor() -> None:
     """Sample until cancelled; log at most one warning per late sample."""
     while True:
         due = anyio.current_time() + _SAMPLE_INTERVAL_SECONDS
--- a/src/persimmonsail/metrics.py
+++ b/src/persimmonsail/metrics.py
@@ -76,7 +76,7 @@
         super().__init__(name, text, labels)
         self._values: dict[_Labels, int] = {}
 
-    def increase(self, *labels: str, by: int = 1) -> None:
+    def increment(self, *labels: str, by: int = 1) -> None:
         """Add to the count for these labels."""
         key = self._limit_labels(labels, self._values)
         self._values[key] = self._values.get(key, 0) + by
--- a/src/persimmonsail/partitioning/cancels.py
+++ b/src/persimmonsail/partitioning/cancels.py
@@ -9,7 +9,7 @@
 from persimmonsail import control_pb2
 from persimmonsail import exceptions
 from persimmonsail.partitioning import endings as endings_module
-from persimmonsail.partitioning import holding as holding_module
+from persimmonsail.partitioning import holdercontext
 
 _STOP_TIMEOUT_SECONDS = 1.5
 _SCAN_PERIOD_SECONDS = 0.1
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        context: holding_module.HolderContext,
+        context: holdercontext.HolderContext,
         endings: endings_module.Endings,
     ) -> None:
         self._context = context
--- a/src/persimmonsail/partitioning/dispatch.py
+++ b/src/persimmonsail/partitioning/dispatch.py
@@ -19,7 +19,7 @@
 from persimmonsail import logs
 from persimmonsail.partitioning import contacts as contacts_module
 from persimmonsail.partitioning import endings as endings_module
-from persimmonsail.partitioning import holding as holding_module
+from persimmonsail.partitioning import holdercontext
 from persimmonsail.partitioning import renewals
 
 _START_TIMEOUT_SECONDS = 2.0
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        context: holding_module.HolderContext,
+        context: holdercontext.HolderContext,
         endings: endings_module.Endings,
         renewer: renewals.Renewer,
     ) -> None:
--- a/src/persimmonsail/partitioning/endings.py
+++ b/src/persimmonsail/partitioning/endings.py
@@ -8,7 +8,7 @@
 from persimmonsail import control_pb2
 from persimmonsail import exceptions
 from persimmonsail import logs
-from persimmonsail.partitioning import holding as holding_module
+from persimmonsail.partitioning import holdercontext
 
 WORKER_RESTARTED = 'the worker was restarted'
 
@@ -20,7 +20,7 @@
     unless the attempt left a checkpoint to resume from.
     """
 
-    def __init__(self, context: holding_module.HolderContext) -> None:
+    def __init__(self, context: holdercontext.HolderContext) -> None:
         self._context = context
 
     async def note_state(
--- a/src/persimmonsail/partitioning/forwarding.py
+++ b/src/persimmonsail/partitioning/forwarding.py
@@ -49,7 +49,7 @@
         )
         seconds = min(timeout, _TIME_BUDGET_SECONDS)
         return await self._forward(
-            'Submit', request, self.submit_here, seconds
+            'Submit', request, self.submit_local, seconds
         )
 
     async def query(self, task: str, wait: float) -> control_pb2.TaskReply:
@@ -65,7 +65,7 @@
             reply = await self._forward(
                 'Query',
                 request,
-                self.query_here,
+                self.query_local,
                 remaining + _TIME_BUDGET_SECONDS,
             )
             if not remaining or reply.phase in records.FINAL_PHASES:
@@ -77,10 +77,10 @@
             task=task, partition=_parse_partition(task)
         )
         return await self._forward(
-            'Cancel', request, self.cancel_here, _TIME_BUDGET_SECONDS
+            'Cancel', request, self.cancel_local, _TIME_BUDGET_SECONDS
         )
 
-    async def submit_here(
+    async def submit_local(
         self, request: control_pb2.SubmitRequest
     ) -> control_pb2.TaskReply:
         """Accept a task of a partition that this process holds."""
@@ -101,7 +101,7 @@
             )
         return await _await_reply(holder, holder.submit(request))
 
-    async def query_here(
+    async def query_local(
         self, request: control_pb2.TaskQuery
     ) -> control_pb2.TaskReply:
         """Return the state of a task that this process holds."""
@@ -111,7 +111,7 @@
         waiting = holder.wait_final(request.task, request.wait_seconds)
         return await _await_reply(holder, waiting)
 
-    async def cancel_here(
+    async def cancel_local(
         self, request: control_pb2.TaskQuery
     ) -> control_pb2.TaskReply:
         """Cancel a task that this process holds."""
--- a/src/persimmonsail/partitioning/holder.py
+++ b/src/persimmonsail/partitioning/holder.py
@@ -10,9 +10,9 @@
 
 from persimmonsail.bookkeeping import commits
 from persimmonsail.bookkeeping import ledger as ledger_module
+from persimmonsail.bookkeeping import ratelimits
 from persimmonsail.bookkeeping import records
 from persimmonsail.bookkeeping import tasks
-from persimmonsail.bookkeeping import turns as turns_module
 from persimmonsail.catalogues import revisions
 from persimmonsail import control_pb2
 from persimmonsail.decisions import fleet as fleet_module
@@ -26,7 +26,7 @@
 from persimmonsail.partitioning import contacts
 from persimmonsail.partitioning import dispatch
 from persimmonsail.partitioning import endings
-from persimmonsail.partitioning import holding
+from persimmonsail.partitioning import holdercontext
 from persimmonsail.partitioning import renewals
 from persimmonsail import settings as settings_module
 
@@ -53,7 +53,7 @@
         process_id: str,
         list_members: ListMembers,
         learned_state: planner.LearnedState | None = None,
-        rate_limiter: turns_module.Turns | None = None,
+        rate_limiter: ratelimits.RateLimiter | None = None,
     ) -> None:
         limits = settings.entry
         consent_limits = (limits.task_lease, limits.outage_limit)
@@ -74,13 +74,14 @@
             fleet, learned, random.Random(ledger.partition)
         )
         self._committer = commits.Committer(
-            ledger, rate_limiter or turns_module.Turns(limits.commit_interval)
+            ledger,
+            rate_limiter or ratelimits.RateLimiter(limits.commit_interval),
         )
         self._authority = consents.Authority(
             lease, links, process_id, *consent_limits
         )
         self._fence = consents.Fence(links, process_id, *consent_limits)
-        shared = holding.HolderContext(
+        shared = holdercontext.HolderContext(
             ledger,
             self._committer,
             fleet,
@@ -89,7 +90,7 @@
             contacts.Contacts(limits.task_lease),
             self._authority,
             self._fence,
-            holding.TaskLocks(self._committer),
+            holdercontext.TaskLocks(self._committer),
             limits.task_lease,
             learned,
             self._intake,
--- a/src/persimmonsail/partitioning/peers.py
+++ b/src/persimmonsail/partitioning/peers.py
@@ -74,7 +74,7 @@
                 self._update_tasks(group)
                 await anyio.sleep(_LIST_PERIOD_SECONDS)
 
-    def find_agreement(self) -> float:
+    def find_confirmed_since(self) -> float:
         """Return since when all entries have confirmed the revision.
 
         While the whole store is down the catalogue cannot be replaced,
--- a/src/persimmonsail/partitioning/renewals.py
+++ b/src/persimmonsail/partitioning/renewals.py
@@ -16,7 +16,7 @@
 from persimmonsail import logs
 from persimmonsail.partitioning import contacts as contacts_module
 from persimmonsail.partitioning import endings as endings_module
-from persimmonsail.partitioning import holding as holding_module
+from persimmonsail.partitioning import holdercontext
 
 _RENEW_TIMEOUT_SECONDS = 1.5
 # For how many leases a task that must not run twice waits for an
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        context: holding_module.HolderContext,
+        context: holdercontext.HolderContext,
         endings: endings_module.Endings,
     ) -> None:
         self._context = context
@@ -257,8 +257,8 @@
             attempt=attempt,
             instance=name,
             epoch=self._context.epoch,
-            reason=records.LEASE_OVER,
+            reason=records.LEASE_EXPIRED,
             now=f'{time.monotonic():.6f}',
         )
         with self._context.task_locks.acquire(task.id):
-            await self._endings.abandon(task, records.LEASE_OVER)
+            await self._endings.abandon(task, records.LEASE_EXPIRED)
--- a/src/persimmonsail/partitioning/status.py
+++ b/src/persimmonsail/partitioning/status.py
@@ -27,7 +27,7 @@
     return control_pb2.StatusReply(
         entry=entry.settings.process.name,
         revision=entry.view.revision,
-        unready=entry.find_unready(),
+        unready=entry.find_unready_reason(),
         store_age_seconds=entry.view.age,
         partitions=sorted(entry.partitions.held),
         instances=[
@@ -150,7 +150,7 @@
         )
         return exits.USAGE
     if arguments.store:
-        store = store_module.open_kind(
+        store = store_module.open_adapter(
             arguments.store_kind, arguments.store, arguments.timeout
         )
     try:
--- a/src/persimmonsail/platform/configuration.py
+++ b/src/persimmonsail/platform/configuration.py
@@ -132,7 +132,7 @@
         await self.loaded.wait()
         while True:
             try:
-                found = await self._store.follow(
+                found = await self._store.watch_changes(
                     _KEY, self._followed, _WATCH_SECONDS
                 )
             except exceptions.StoreError:
--- a/src/persimmonsail/platform/runner.py
+++ b/src/persimmonsail/platform/runner.py
@@ -137,7 +137,7 @@
         boot: str,
         body: dict[str, t.Any],
         timeout: float = _ORDER_SECONDS,
-    ) -> httpclient.Answer:
+    ) -> httpclient.Response:
         try:
             answer = await self._client.call(
                 'POST', f'/v1/{name}', body, {_BOOT_HEADER: boot}, timeout
@@ -160,7 +160,7 @@
         raise exceptions.WorkerUnavailable(f'{name}: status {status}')
 
 
-def _read(model: type[_M], answer: httpclient.Answer) -> _M:
+def _read(model: type[_M], answer: httpclient.Response) -> _M:
     try:
         return model.model_validate_json(answer.content)
     except pydantic.ValidationError as error:
--- a/src/persimmonsail/settings.py
+++ b/src/persimmonsail/settings.py
@@ -213,7 +213,7 @@
 def parse(file: str, text: str, role: str) -> Settings:
     """Validate settings text; see ``load``."""
     collector = findings.Collector(f'settings in {file}')
-    line_index = findings.Places(file, text)
+    line_index = findings.LineIndex(file, text)
     parser = findings.read_ini(file, text, collector)
     sections: dict[str, Section] = {}
     for name in parser.sections():
@@ -227,14 +227,14 @@
         try:
             sections[name] = model.model_validate(dict(parser[name]))
         except pydantic.ValidationError as error:
-            collector.add_validation(line_index, name, error, model)
+            collector.add_validation_errors(line_index, name, error, model)
     with_jobs = 'jobs' in parser.sections()
     for name in (
         _REQUIRED_SECTIONS_WITH_JOBS if with_jobs else _REQUIRED_SECTIONS
     )[role]:
         if name not in parser.sections():
             collector.add(
-                findings.Place(file, section=name),
+                findings.Location(file, section=name),
                 f'section is missing; the {role} role needs it',
             )
     _check_store_kind(sections.get('store'), line_index, collector)
--- a/src/persimmonsail/shutdown.py
+++ b/src/persimmonsail/shutdown.py
@@ -8,7 +8,7 @@
 _T = t.TypeVar('_T')
 
 
-class Calls:
+class CallTracker:
     """Tracks calls in flight, so that a shutdown can wait for them.
 
     grpclib's server cancels its handlers when it is closed, so a caller
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.begun = anyio.Event()
 
-    async def run_until_begun(
+    async def run_until_stop(
         self, function: t.Callable[..., t.Awaitable[None]], *args: t.Any
     ) -> None:
         """Run a function; cancel it once the shutdown begins."""
@@ -57,7 +57,7 @@
             await self.begun.wait()
             group.cancel_scope.cancel()
 
-    async def wait_unless_begun(
+    async def wait_unless_stopping(
         self, wait: t.Callable[[float], t.Awaitable[_T]], seconds: float
     ) -> _T:
         """Call ``wait(seconds)``, or ``wait(0)`` once the shutdown begins.
--- a/src/persimmonsail/sidecars/announcer.py
+++ b/src/persimmonsail/sidecars/announcer.py
@@ -148,10 +148,10 @@
     def _handle_notice(
         self, notice: control_pb2.EntryNotice, sent_at: float
     ) -> None:
-        self._own.note_revision(notice.revision)
+        self._own.record_revision(notice.revision)
         self._live = frozenset(notice.entries)
         if notice.fresh:
-            self._own.note_fresh(
+            self._own.record_confirmation(
                 sent_at, sent_at - notice.evidence_age_seconds
             )
         self._add(notice.entries)
--- a/src/persimmonsail/sidecars/execution.py
+++ b/src/persimmonsail/sidecars/execution.py
@@ -90,7 +90,7 @@
             return reason
         if request.revision < self._own.revision:
             return 'stale revision'
-        self._own.note_revision(request.revision)
+        self._own.record_revision(request.revision)
         if self._own.leaving:
             return 'leaving'
         if self._own.backend_leaving:
--- a/src/persimmonsail/sidecars/instance.py
+++ b/src/persimmonsail/sidecars/instance.py
@@ -33,13 +33,13 @@
     ``incarnation`` distinguishes the processes of successive sidecars;
     ``revision`` is the highest observed catalogue revision.
     ``backend_leaving`` affects quick requests only, not tasks.
-    ``notice_limit`` is how many seconds from ``confirmed_at`` an
+    ``max_evidence_age`` is how many seconds from ``confirmed_at`` an
     entry's report of a fresh catalogue remains valid.
     """
 
     incarnation: str = dataclasses.field(default_factory=_make_incarnation)
     revision: int = 0
-    notice_limit: float = math.inf
+    max_evidence_age: float = math.inf
     confirmed_at: float = -math.inf
     started_at: float = dataclasses.field(default_factory=_read_clock)
     has_fresh_evidence: bool = False
@@ -68,7 +68,7 @@
             connections=self.busy_slots,
         )
 
-    def note_revision(self, revision: int) -> None:
+    def record_revision(self, revision: int) -> None:
         """Record the highest observed catalogue revision."""
         if revision > self.revision:
             self.revision = revision
@@ -76,7 +76,7 @@
                 'catalogue', revision=revision, incarnation=self.incarnation
             )
 
-    def note_fresh(self, asked_at: float, evidence_at: float) -> None:
+    def record_confirmation(self, asked_at: float, evidence_at: float) -> None:
         """Record an entry's report that its catalogue is fresh.
 
         Parameters
@@ -101,10 +101,10 @@
         the replaced revision. Without a recent confirmation, this
         sidecar may not have been notified of the change.
         """
-        if self.notice_limit == math.inf:
+        if self.max_evidence_age == math.inf:
             return ''
         if not self.has_fresh_evidence:
             return 'no entry confirms the catalogue revision since the start'
-        if time.monotonic() - self.confirmed_at <= self.notice_limit:
+        if time.monotonic() - self.confirmed_at <= self.max_evidence_age:
             return ''
         return 'no entry confirms the catalogue revision'
--- a/src/persimmonsail/sidecars/sidecar.py
+++ b/src/persimmonsail/sidecars/sidecar.py
@@ -37,9 +37,10 @@
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
         self.own = instance_module.OwnInstance(
-            notice_limit=settings.links.silence, backend_leaving=True
+            max_evidence_age=settings.links.silence,
+            backend_leaving=True,
         )
-        self.calls = shutdown.Calls()
+        self.calls = shutdown.CallTracker()
 
     async def __aenter__(self) -> 'Sidecar':
         self._exit_stack = contextlib.AsyncExitStack()
@@ -163,7 +164,7 @@
 
 def _count_admission(workload: str, verdict: int) -> None:
     name = instance_module.name_verdict(verdict)
-    metrics.ADMISSIONS.increase(workload, name)
+    metrics.ADMISSIONS.increment(workload, name)
 
 
 async def run(settings: settings_module.Settings) -> None:
@@ -177,7 +178,7 @@
             group.start_soon(_wait_for_signal, signals, stop)
             # Rebuilding retries while the worker is down; a stop that
             # waited for its completion might never happen.
-            await stop.run_until_begun(sidecar.supervisor.rebuild)
+            await stop.run_until_stop(sidecar.supervisor.rebuild)
             if not stop.begun.is_set():
                 await _serve(sidecar, stop)
             group.cancel_scope.cancel()
@@ -196,12 +197,12 @@
     settings = sidecar.settings
     server = grpclib.server.Server([sidecar, health_service.Health()])
     sock = addresses.bind(settings.process.control)
-    address = addresses.name_of(sock)
+    address = addresses.format_address(sock)
     await server.start(sock=sock)
     logs.write_event(
         'listening', control=address, incarnation=sidecar.own.incarnation
     )
-    with links.Links(links.describe_limits(settings.links)) as opened:
+    with links.Links(links.make_limits(settings.links)) as opened:
         async with anyio.create_task_group() as group:
             announcer = announcer_module.Announcer(
                 sidecar.own, settings, address, opened, sidecar.colocation
@@ -213,7 +214,7 @@
                 announcer.announce_now,
             )
             await probe.probe_once()
-            group.start_soon(looplag.watch)
+            group.start_soon(looplag.monitor)
             group.start_soon(probe.run)
             group.start_soon(announcer.run)
             group.start_soon(sidecar.colocation.run)
--- a/src/persimmonsail/sidecars/supervisor.py
+++ b/src/persimmonsail/sidecars/supervisor.py
@@ -132,7 +132,7 @@
             return reason
         if request.revision < self._own.revision:
             return 'stale revision'
-        self._own.note_revision(request.revision)
+        self._own.record_revision(request.revision)
         if (request.task, request.attempt) in self._bars:
             return 'barred'
         if self._own.leaving:
--- a/src/persimmonsail/store.py
+++ b/src/persimmonsail/store.py
@@ -190,7 +190,9 @@
         """
 
     @abc.abstractmethod
-    async def follow(self, prefix: str, after: int, wait: float) -> Changes:
+    async def watch_changes(
+        self, prefix: str, after: int, wait: float
+    ) -> Changes:
         """Wait for changes under a prefix, including deletions.
 
         Raises
@@ -214,7 +216,7 @@
     return KINDS
 
 
-def open_kind(kind: str, address: str, timeout: float) -> Store:
+def open_adapter(kind: str, address: str, timeout: float) -> Store:
     """Create a store of a registered kind.
 
     Raises
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -121,7 +121,7 @@
             anyio.create_task_group()
         )
         # A test that stands still itself reads, and does, things too late.
-        self._group.start_soon(looplag.watch)
+        self._group.start_soon(looplag.monitor)
         self.client = await self._owned.enter_async_context(
             httpx.AsyncClient(timeout=60, trust_env=False, limits=_LIMITS)
         )
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -41,7 +41,7 @@
     def __init__(self, listen: str, target: str) -> None:
         self._target = addresses.split(target)
         self._socket = addresses.bind(listen)
-        self.address = addresses.name_of(self._socket)
+        self.address = addresses.format_address(self._socket)
         self._mode = 'pass'
         self._delay = 0.0
         self.rate = 0
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -20,7 +20,7 @@
             anyio.create_task_group() as group,
             httpserver.HttpServer(app, address, drain=1.0) as server,
         ):
-            group.start_soon(looplag.watch)
+            group.start_soon(looplag.monitor)
             for function in background:
                 group.start_soon(function)
             logs.write_event('listening', http=server.address)
--- a/tests/auditing/test_audit.py
+++ b/tests/auditing/test_audit.py
@@ -9,7 +9,7 @@
 from persimmonsail import exits
 from persimmonsail import logs
 from tests import base
-from tests import story as scenarios
+from tests import scenarios
 
 HELD = verdicts.Verdict.HELD
 VIOLATED = verdicts.Verdict.VIOLATED
@@ -43,7 +43,7 @@
 
 class CleanTest(AuditCase):
     def test_clean_logs_satisfy_every_invariant_with_cases(self):
-        reports = self.check_invariants(scenarios.make_story())
+        reports = self.check_invariants(scenarios.make_scenario())
         self.assertEqual(
             ('I1', *INVARIANTS[1:], 'evidence'), tuple(sorted(reports))
         )
@@ -56,7 +56,7 @@
         self.assertEqual(INVARIANTS, tuple(sorted(verdicts.CHECKS)))
 
     def test_message_lines_pass_and_other_text_is_counted(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(50.0, 'entry', 'message', text='a b=c "d"')
         directory = self.make_directory()
         paths = scenario.write(directory)
@@ -75,20 +75,20 @@
 
         Its sidecar admits both attempts although only one fits.
         """
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('task-dispatch', task=scenarios.BUILD, attempt=1)
         line.fields['cores'] = 12.0
         self.assert_only(scenario, 'I1', 'one')
 
     def test_accelerators_count_on_their_own(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         for task in (scenarios.BUILD, scenarios.WATCHER):
             line = scenario.find('task-dispatch', task=task, attempt=1)
             line.fields['accelerators'] = 1
         self.assert_only(scenario, 'I1', 'one')
 
     def test_unknown_capacity_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('takeover', incarnation=scenarios.TWO)
         self.assert_only(scenario, 'I1', 'two', NOT_SHOWN)
 
@@ -99,13 +99,13 @@
 
         The second attempt starts while the first may still be running.
         """
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         renewal = scenario.find('renewal')
         renewal.time = 14.0
         self.assert_only(scenario, 'I2', scenarios.WATCHER)
 
     def test_start_without_a_claim(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenarios.start_task(scenario, 19.0, scenarios.WATCHER, 3, 'two')
         scenarios.end_task(
             scenario, 19.5, scenarios.WATCHER, 3, 'two', 'stopped'
@@ -113,7 +113,7 @@
         self.assert_only(scenario, 'I2', scenarios.WATCHER)
 
     def test_start_under_an_older_epoch(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find(
             'task-dispatch', task=scenarios.WATCHER, attempt=2
         )
@@ -124,7 +124,7 @@
 class ResumptionTest(AuditCase):
     def test_resumed_without_its_checkpoint(self):
         """A checkpointed build does not start from its checkpoint."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('task-dispatch', task=scenarios.BUILD, attempt=2)
         line.fields['checkpoint'] = 'other'
         self.assert_only(scenario, 'I3', scenarios.BUILD)
@@ -135,7 +135,7 @@
         Its worker evicted the watcher. By the time the sidecar is back
         and reports the checkpoint, the watcher runs elsewhere.
         """
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(
             17.0,
             'one',
@@ -151,7 +151,7 @@
 
     def test_checkpoint_reported_within_the_lease_is_lost(self):
         """As above, but the worker reported within the lease."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(
             10.0,
             'one',
@@ -173,14 +173,14 @@
         )
 
     def test_watcher_restarts_without_an_unreachable_workers_checkpoint(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenarios.end_task(
             scenario, 13.1, scenarios.WATCHER, 1, 'one', 'evicted', 'late'
         )
         self.assertIs(HELD, self.check_invariants(scenario)['I3'].verdict)
 
     def lose_checkpoint(self, task):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         batches = scenarios.make_batches()
         finished = records.Finished(
             task, 1, records.TaskPhase.UNKNOWN, '', 'lease over'
@@ -205,31 +205,31 @@
 class AnswersTest(AuditCase):
     def test_answer_of_another_request(self):
         """A late answer is returned for the next request on the link."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('answer', request=scenarios.QUICK)
         line.fields['answer'] = logs.digest(scenarios.ONCE.encode())
         self.assert_only(scenario, 'I4', scenarios.QUICK)
 
     def test_two_final_answers(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('answer', request=scenarios.QUICK)
         scenario.lines.append(dataclasses.replace(line, time=line.time + 1))
         self.assert_only(scenario, 'I4', scenarios.QUICK)
 
     def test_task_answer_that_is_not_the_outcome(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('task-answer', phase='succeeded')
         line.fields['answer'] = 'other'
         self.assert_only(scenario, 'I4', scenarios.BUILD)
 
     def test_answer_without_a_sidecar_line_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         for event in ('dispatch', 'outcome'):
             scenario.drop(event, request=scenarios.QUICK)
         self.assert_only(scenario, 'I4', scenarios.QUICK, NOT_SHOWN)
 
     def test_request_open_in_a_log_without_a_stop_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(42.0, 'entry', 'request', request='open', name='check')
         self.assert_only(scenario, 'I4', 'open', NOT_SHOWN)
 
@@ -237,13 +237,13 @@
 class NotRunTest(AuditCase):
     def test_refused_request_that_ran(self):
         """A caller retries after a false 'not run', and it runs twice."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('outcome', request=scenarios.REFUSED)
         line.fields.update(verdict='unknown', reason='ReadTimeout')
         self.assert_only(scenario, 'I5', scenarios.REFUSED)
 
     def test_refused_task_that_was_accepted(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.drop('task-answer', request='submit')
         scenario.add(
             line.time,
@@ -256,7 +256,7 @@
         self.assert_only(scenario, 'I5', 'submit')
 
     def test_missing_log_of_the_chosen_instance_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('routing', request=scenarios.REFUSED)
         line.fields['chosen'] = 'three'
         self.assert_only(scenario, 'I5', scenarios.REFUSED, NOT_SHOWN)
@@ -265,7 +265,7 @@
 class AtMostOnceTest(AuditCase):
     def test_request_sent_to_run_twice(self):
         """A non-idempotent request runs twice, with conflicting results."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenarios.add_dispatch(scenario, 3.25, scenarios.ONCE, False, 2)
         outcome = scenario.find('outcome', request=scenarios.ONCE)
         scenario.add(
@@ -277,7 +277,7 @@
         self.assert_only(scenario, 'I6', scenarios.ONCE)
 
     def test_build_that_starts_again_from_nothing(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('task-dispatch', task=scenarios.BUILD, attempt=2)
         line.fields['checkpoint'] = ''
         reports = self.check_invariants(scenario)
@@ -305,7 +305,7 @@
 
     def make_unconfirmed_start(self):
         """A build's first start has no answer; the next is from scratch."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('task-admission', task=scenarios.BUILD, attempt=1)
         ended = scenario.find('task-ended', task=scenarios.BUILD, attempt=1)
         ended.fields['phase'] = 'absent'
@@ -317,13 +317,13 @@
 class LeavingTest(AuditCase):
     def test_choice_long_after_the_announcement(self):
         """A request is routed to a server that is shutting down."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('routing', request=scenarios.QUICK)
         scenario.lines.append(dataclasses.replace(line, time=14.0))
         self.assert_only(scenario, 'I7', 'one')
 
     def test_a_new_incarnation_may_be_chosen(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('routing', request=scenarios.QUICK)
         fields = {**line.fields, 'incarnation': 'later'}
         scenario.add(14.0, 'entry', 'routing', **fields)
@@ -333,7 +333,7 @@
 class StopsTest(AuditCase):
     def test_attempt_cut_off_by_a_stop(self):
         """A request in flight fails because its sidecar was replaced."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(
             10.5,
             'one',
@@ -347,7 +347,7 @@
         self.assert_only(scenario, 'I8', 'cut')
 
     def test_request_without_an_end_before_the_stop(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('refusal', request=scenarios.REFUSED)
         reports = self.check_invariants(scenario)
         self.assertIs(VIOLATED, reports['I8'].verdict)
@@ -355,7 +355,7 @@
         self.assertEqual({scenarios.REFUSED}, subjects)
 
     def test_stop_without_an_end_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('stopped', incarnation=scenarios.TWO)
         self.assert_only(scenario, 'I8', 'two', NOT_SHOWN)
 
@@ -363,7 +363,7 @@
 class CatalogueTest(AuditCase):
     def test_decision_under_a_replaced_revision(self):
         """A lowered limit is exceeded based on the old revision."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(
             26.0,
             'other',
@@ -376,22 +376,22 @@
         self.assert_only(scenario, 'I9', 'other')
 
     def test_process_that_reverts_to_an_older_revision(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(21.0, 'entry', 'catalogue', revision=1, id='edit-1')
         self.assert_only(scenario, 'I9', 'entry')
 
     def test_accepted_change_that_the_store_lost(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.heads.pop()
         self.assert_only(scenario, 'I9', 'revision 2')
 
     def test_two_catalogues_under_one_revision(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.add(20.3, 'other', 'catalogue', revision=2, id='edit-x')
         self.assert_only(scenario, 'I9', 'revision 2')
 
     def test_acceptance_without_a_line_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('catalogue-accepted', revision=2)
         self.assert_only(scenario, 'I9', 'revision 2', NOT_SHOWN)
 
@@ -399,7 +399,7 @@
 class ChainTest(AuditCase):
     def test_tampered_batch_is_found(self):
         """A claim is altered in the log after the fact."""
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         line = scenario.find('ledger-commit', position=5)
         line.fields['batch'] = line.fields['batch'].replace('two', 'one')
         line.fields['hash'] = records.hash_text(line.fields['batch'])
@@ -409,7 +409,7 @@
         self.assertIn('two batches at position 5', texts)
 
     def test_tampered_batch_is_found_without_the_store(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.page = None
         line = scenario.find('ledger-commit', position=5)
         line.fields['batch'] = line.fields['batch'].replace('two', 'one')
@@ -419,19 +419,19 @@
         self.assertEqual(['the chain is broken at position 6'], texts)
 
     def test_wrong_hash_is_found(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.find('ledger-commit', position=4).fields['hash'] = 'other'
         self.assert_only(scenario, 'evidence', 'partition 0')
 
     def test_missing_batch_is_not_shown(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.page = None
         scenario.drop('ledger-commit', position=3)
         report = self.check_invariants(scenario)['evidence']
         self.assertIs(NOT_SHOWN, report.verdict)
 
     def test_store_fills_a_gap_in_the_logs(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         scenario.drop('ledger-commit', position=3)
         self.assertIs(
             HELD, self.check_invariants(scenario)['evidence'].verdict
@@ -447,7 +447,7 @@
         return code, output.getvalue()
 
     def test_exit_codes(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         code, output = self.run_audit(scenario)
         self.assertEqual(exits.OK, code)
         self.assertTrue(output.endswith('audit=ok\n'))
@@ -462,7 +462,7 @@
         self.assertIn('violation=I9 subject=entry', output)
 
     def test_saved_ledger_is_compared_with_the_logs(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         saved = self.make_directory() / 'ledger.json'
         saved.write_text(chain.dump_page(scenario.page).replace('two', 'one'))
         code, output = self.run_audit(scenario, '--ledger', str(saved))
@@ -470,7 +470,7 @@
         self.assertIn('two batches at position', output)
 
     def test_history_of_a_task_is_in_order_of_time(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         code, output = self.run_audit(scenario, '--task', scenarios.BUILD)
         self.assertEqual(exits.OK, code)
         lines = output.splitlines()
@@ -484,7 +484,7 @@
             self.assertIn(expected, output)
 
     def test_history_of_a_request_has_its_attempts(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         code, output = self.run_audit(scenario, '--request', scenarios.QUICK)
         self.assertEqual(exits.OK, code)
         kinds = [line.split()[2] for line in output.splitlines()]
@@ -501,6 +501,6 @@
         )
 
     def test_history_of_an_unknown_request_fails(self):
-        scenario = scenarios.make_story()
+        scenario = scenarios.make_scenario()
         code, _ = self.run_audit(scenario, '--request', 'nobody')
         self.assertEqual(exits.EVIDENCE, code)
--- a/tests/auditing/test_audit_jobs.py
+++ b/tests/auditing/test_audit_jobs.py
@@ -1,5 +1,5 @@
 from tests.auditing import test_audit
-from tests import story as scenarios
+from tests import scenarios
 
 TASK = 'job-1.0.0.1'
 
@@ -9,7 +9,7 @@
 
     def setUp(self):
         super().setUp()
-        self.scenario = scenarios.make_story()
+        self.scenario = scenarios.make_scenario()
 
     def test_a_run_that_began_before_the_previous_one_ended(self):
         end = self.scenario.find('run-ended', task=TASK, run=1)
--- a/tests/bookkeeping/test_turns.py
+++ b/tests/bookkeeping/test_ratelimits.py
@@ -2,8 +2,8 @@
 
 from persimmonsail.bookkeeping import commits
 from persimmonsail.bookkeeping import ledger
+from persimmonsail.bookkeeping import ratelimits
 from persimmonsail.bookkeeping import records
-from persimmonsail.bookkeeping import turns
 from standins import memory
 from tests import base
 
@@ -20,9 +20,9 @@
 
 class RateLimitTest(base.TestCase):
     async def test_commits_are_spaced_over_all_callers(self):
-        limiter = turns.Turns(1000.0)
+        limiter = ratelimits.RateLimiter(1000.0)
         clock = _Clock()
-        self.patch(turns.anyio, 'sleep', clock.sleep)
+        self.patch(ratelimits.anyio, 'sleep', clock.sleep)
         for _ in range(3):
             await limiter.wait()
         self.assertEqual(0, clock.slept[0])
@@ -36,7 +36,7 @@
         them would use up the store's write rate.
         """
         store = memory.MemoryStore()
-        limiter = turns.Turns(0.2)
+        limiter = ratelimits.RateLimiter(0.2)
         committers = []
         for partition in range(2):
             partition_ledger = ledger.Ledger(store, partition)
--- a/tests/contract.py
+++ b/tests/contract.py
@@ -28,8 +28,8 @@
             default_specification=referencing.jsonschema.DRAFT202012,
         )
         self._registry = referencing.Registry().with_resource(_BASE, resource)
-        self.met: set[DocumentedResponse] = set()
-        self.met_fields: set[str] = set()
+        self.covered: set[DocumentedResponse] = set()
+        self.covered_fields: set[str] = set()
 
     def list_operations(self) -> set[tuple[str, str]]:
         """Return every method and path of the document."""
@@ -39,7 +39,7 @@
             for method in item
         }
 
-    def list_answers(self) -> set[DocumentedResponse]:
+    def list_responses(self) -> set[DocumentedResponse]:
         """Return every method, path and status of the document."""
         return {
             (method, path, status)
@@ -71,7 +71,7 @@
         documented = self._resolve(operation['responses'][status])
         self._check_headers(documented.get('headers', {}), response)
         self._check_body(documented['content'], response)
-        self.met.add((method, path, status))
+        self.covered.add((method, path, status))
 
     def check_problem(self, response: httpx.Response) -> None:
         """Validate a problem response of an undocumented operation."""
@@ -106,7 +106,7 @@
         self._validate(self._make_absolute(schema), body)
         if is_json:
             name = 'Problem' if 'title' in body else 'Task'
-            self.met_fields |= {f'{name}.{field}' for field in body}
+            self.covered_fields |= {f'{name}.{field}' for field in body}
 
     def _validate(self, schema: t.Any, value: t.Any) -> None:
         jsonschema.Draft202012Validator(
--- a/tests/jobs/test_election.py
+++ b/tests/jobs/test_election.py
@@ -24,7 +24,7 @@
         items = (i for key, i in self.items.items() if key.startswith(prefix))
         return store_module.Page(self.revision, tuple(items))
 
-    async def follow(self, prefix, after, wait):
+    async def watch_changes(self, prefix, after, wait):
         with anyio.move_on_after(wait):
             while True:
                 item = self.items.get(prefix)
--- a/tests/jobs/test_inbox.py
+++ b/tests/jobs/test_inbox.py
@@ -18,7 +18,7 @@
         self.answers = list(answers)
         self.calls = []
 
-    async def follow(self, prefix, after, wait):
+    async def watch_changes(self, prefix, after, wait):
         self.calls.append(after)
         await anyio.sleep(0.001)
         return await self.answer()
@@ -67,7 +67,7 @@
         """Guards against a cancelled job running until the watch times out."""
         marker = store_module.Item(record.CANCELS + 'a', '{}', 7)
         store = Store(store_module.Page(8, (marker,)))
-        store.follow = hang
+        store.watch_changes = hang
         with mock.patch.object(inbox, '_HUNG_SECONDS', 0.1):
             self.assertEqual([marker.key], await self.follow(store))
 
--- a/tests/jobs/test_link.py
+++ b/tests/jobs/test_link.py
@@ -24,7 +24,7 @@
         sock = addresses.bind('127.0.0.1:0')
         server = grpclib.server.Server([sidecar_agent])
         await server.start(sock=sock)
-        instance = instances.Instance(addresses.name_of(sock))
+        instance = instances.Instance(addresses.format_address(sock))
         instance_link = link.InstanceLink(
             instance,
             epoch,
--- a/tests/partitioning/test_forwarding.py
+++ b/tests/partitioning/test_forwarding.py
@@ -57,17 +57,17 @@
         holds the partition reaches neither store nor peers.
         """
         forwarder = self.make_forwarder(self.make_view(FRESHNESS + 1))
-        reply = await forwarder.submit_here(self.make_request())
+        reply = await forwarder.submit_local(self.make_request())
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertIn('neither store nor peers', reply.reason)
         self.assertGreater(reply.retry_after_seconds, 0)
 
     async def test_holder_with_a_lower_revision_accepts_nothing(self):
         forwarder = self.make_forwarder(self.make_view(0))
-        reply = await forwarder.submit_here(self.make_request(2))
+        reply = await forwarder.submit_local(self.make_request(2))
         self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
         self.assertIn('does not know the revision', reply.reason)
-        reply = await forwarder.submit_here(self.make_request(1))
+        reply = await forwarder.submit_local(self.make_request(1))
         self.assertTrue(reply.accepted)
 
     async def test_known_task_is_never_called_not_run(self):
@@ -78,5 +78,5 @@
         """
         view = self.make_view(FRESHNESS + 1)
         forwarder = self.make_forwarder(view, 't')
-        reply = await forwarder.submit_here(self.make_request())
+        reply = await forwarder.submit_local(self.make_request())
         self.assertTrue(reply.accepted)
--- a/tests/partitioning/test_peers.py
+++ b/tests/partitioning/test_peers.py
@@ -58,7 +58,7 @@
         stub = StubPeer(reply)
         server = grpclib.server.Server([stub])
         sock = addresses.bind('127.0.0.1:0')
-        address = addresses.name_of(sock)
+        address = addresses.format_address(sock)
         await server.start(sock=sock)
         listed = {
             'one': partitions.LiveEntry('one', '127.0.0.1:1', 'a'),
@@ -132,7 +132,7 @@
         view = self.make_view()
 
         async def check(found, listed):
-            view.witness = found.find_agreement
+            view.witness = found.find_confirmed_since
             self.assertTrue(view.is_fresh)
             listed['three'] = partitions.LiveEntry('three', '[::1]:1', 'a')
             self.assertFalse(view.is_fresh)
@@ -151,7 +151,7 @@
         view = self.make_view()
 
         async def check(found, listed):
-            self.assertEqual(-math.inf, found.find_agreement())
+            self.assertEqual(-math.inf, found.find_confirmed_since())
 
         await self.run_with_peer(
             self.make_reply(0, established=False), view, check
@@ -162,7 +162,7 @@
 
         async def check(found, listed):
             del listed['one']
-            self.assertEqual(-math.inf, found.find_agreement())
+            self.assertEqual(-math.inf, found.find_confirmed_since())
 
         await self.run_with_peer(
             self.make_reply(1, established=True), view, check
@@ -178,7 +178,7 @@
 
         async def check(found, listed):
             self.assertEqual(1, view.revision)
-            self.assertEqual(-math.inf, found.find_agreement())
+            self.assertEqual(-math.inf, found.find_confirmed_since())
 
         await self.run_with_peer(
             self.make_reply(2, established=True), view, check
@@ -220,7 +220,7 @@
         return await supervisor.Supervisor(own, worker).start(request)
 
     async def test_nothing_is_admitted_before_a_fresh_notice(self):
-        own = instance.OwnInstance(notice_limit=FRESHNESS)
+        own = instance.OwnInstance(max_evidence_age=FRESHNESS)
         for admit in (self.execute, self.start):
             reply = await admit(own, 1)
             self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
@@ -228,9 +228,9 @@
             self.assertEqual(0, own.revision)
 
     async def test_lower_revision_is_refused_after_a_notice(self):
-        own = instance.OwnInstance(notice_limit=FRESHNESS)
-        own.note_fresh(time.monotonic(), time.monotonic())
-        own.note_revision(2)
+        own = instance.OwnInstance(max_evidence_age=FRESHNESS)
+        own.record_confirmation(time.monotonic(), time.monotonic())
+        own.record_revision(2)
         for admit in (self.execute, self.start):
             reply = await admit(own, 1)
             self.assertEqual(control_pb2.NOT_RUN, reply.verdict)
@@ -239,14 +239,14 @@
 
 class OwnInstanceTest(base.TestCase):
     def test_restarted_sidecar_waits_for_a_fresh_entry(self):
-        own = instance.OwnInstance(notice_limit=2.0)
+        own = instance.OwnInstance(max_evidence_age=2.0)
         self.assertIn('no entry confirms', own.find_staleness())
-        own.note_fresh(time.monotonic(), time.monotonic())
+        own.record_confirmation(time.monotonic(), time.monotonic())
         self.assertEqual('', own.find_staleness())
 
     def test_word_of_an_entry_grows_old(self):
-        own = instance.OwnInstance(notice_limit=2.0)
-        own.note_fresh(time.monotonic() - 3.0, time.monotonic())
+        own = instance.OwnInstance(max_evidence_age=2.0)
+        own.record_confirmation(time.monotonic() - 3.0, time.monotonic())
         self.assertIn('no entry confirms', own.find_staleness())
 
     def test_evidence_older_than_the_sidecar_is_not_enough(self):
@@ -256,9 +256,9 @@
         restart, another entry is first, which has not received the change
         yet and still counts as fresh.
         """
-        own = instance.OwnInstance(notice_limit=2.0)
+        own = instance.OwnInstance(max_evidence_age=2.0)
         now = time.monotonic()
-        own.note_fresh(now, own.started_at - 0.1)
+        own.record_confirmation(now, own.started_at - 0.1)
         self.assertIn('since the start', own.find_staleness())
-        own.note_fresh(now, own.started_at)
+        own.record_confirmation(now, own.started_at)
         self.assertEqual('', own.find_staleness())
--- a/tests/quickcase.py
+++ b/tests/quickcase.py
@@ -147,7 +147,7 @@
         records = [await self.read_record(name) for name in self.backends]
         return [run for record in records for run in record]
 
-    async def wait_work(self) -> str:
+    async def wait_work_started(self) -> str:
         """Return the name of the first backend server to start work."""
         names: list[str] = []
 
@@ -161,7 +161,7 @@
                 group.start_soon(wait, name)
         return names[0]
 
-    async def tell_backend(self, name: str, action: str) -> None:
+    async def send_backend_action(self, name: str, action: str) -> None:
         """Make a backend server ``leave`` or ``return``."""
         await self.running.client.post(
             f'http://{self.backends[name]}/{action}'
--- a/tests/story.py
+++ b/tests/scenarios.py
@@ -1,6 +1,6 @@
 """A small complete run as synthetic log lines and ledger contents.
 
-The run of ``make_story`` is clean: every invariant holds, and each has
+The run of ``make_scenario`` is clean: every invariant holds, and each has
 cases. Tests cause a violation by changing, adding or dropping lines.
 """
 
@@ -112,7 +112,7 @@
         return {report.invariant: report for report in reports}
 
 
-def make_story() -> Scenario:
+def make_scenario() -> Scenario:
     """Return a clean run of a build, a watcher, a job and quick requests."""
     scenario = Scenario()
     _add_catalogue(scenario)
--- a/tests/sidecars/test_supervisor_refusals.py
+++ b/tests/sidecars/test_supervisor_refusals.py
@@ -64,12 +64,12 @@
         An entry whose watch went silent still has the old catalogue.
         """
         instance = await instances.Instance().open()
-        instance.own.note_revision(2)
+        instance.own.record_revision(2)
         await self.assert_not_run(instance, 'stale revision', revision=1)
 
     async def test_revision_that_no_entry_confirms_is_refused(self):
         instance = await instances.Instance().open()
-        instance.own.notice_limit = 5.0
+        instance.own.max_evidence_age = 5.0
         await self.assert_not_run(
             instance,
             'no entry confirms the catalogue revision since the start',
--- a/tests/test_httpclient.py
+++ b/tests/test_httpclient.py
@@ -80,11 +80,11 @@
     async def test_sequential_calls_share_a_connection(self):
         async with self.open(OK, CHUNKED, OK) as (client, service):
             first = await client.call('GET', '/v1/one?key=a')
-            self.assertEqual(httpclient.Answer(200, b'ok'), first)
+            self.assertEqual(httpclient.Response(200, b'ok'), first)
             second = await client.call(
                 'POST', '/v1/two', {'a': 1}, {'Expected-Instance': 'i-1'}
             )
-            self.assertEqual(httpclient.Answer(409, b'nope!'), second)
+            self.assertEqual(httpclient.Response(409, b'nope!'), second)
             await client.call('DELETE', '/v1/three')
             self.assertEqual(1, service.connections)
             self.assertIn(b'Expected-Instance: i-1', service.requests[1])
--- a/tests/test_httpstore.py
+++ b/tests/test_httpstore.py
@@ -73,7 +73,7 @@
 
     async def test_connection_refused(self):
         sock = addresses.bind('127.0.0.1:0')
-        address = addresses.name_of(sock)
+        address = addresses.format_address(sock)
         sock.close()
         store = httpstore.HttpStore(address, 20.0)
         try:
@@ -141,6 +141,6 @@
 class StoreKindsTest(base.TestCase):
     def test_unknown_kind_error_lists_the_allowed_ones(self):
         error = self.assertRaises(
-            exceptions.UnknownKind, store_module.open_kind, 'etch', 'a:1', 1
+            exceptions.UnknownKind, store_module.open_adapter, 'etch', 'a:1', 1
         )
         self.assertIn("'etch'; allowed: http, platform", str(error))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -42,7 +42,7 @@
     server = grpclib.server.Server([sidecar, health_service.Health()])
     sock = addresses.bind('127.0.0.1:0')
     await server.start(sock=sock)
-    link_proxy = proxy.Proxy('127.0.0.1:0', addresses.name_of(sock))
+    link_proxy = proxy.Proxy('127.0.0.1:0', addresses.format_address(sock))
     with links.Links(LIMITS) as client_links:
         async with anyio.create_task_group() as group:
             group.start_soon(link_proxy.run)
@@ -170,7 +170,7 @@
             client_links,
         ):
             sock = addresses.bind('127.0.0.1:0')
-            closed = addresses.name_of(sock)
+            closed = addresses.format_address(sock)
             sock.close()
             with self.assertRaises(exceptions.LinkRefused):
                 await settle(client_links, closed)
--- a/tests/test_looplag.py
+++ b/tests/test_looplag.py
@@ -14,7 +14,7 @@
         """Return the warnings that are logged while the loop is blocked."""
         with mock.patch.object(logs, 'write_warning') as write:
             async with anyio.create_task_group() as group:
-                group.start_soon(looplag.watch)
+                group.start_soon(looplag.monitor)
                 await anyio.sleep(0.01)
                 time.sleep(blocked_seconds)  # noqa: ASYNC251
                 await anyio.sleep(0.2)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -28,9 +28,9 @@
 class MetricsTest(base.TestCase):
     def test_counts_by_labels(self):
         counter = metrics.Counter('calls', 'Calls.', ('kind',))
-        counter.increase('get')
-        counter.increase('put', by=2)
-        counter.increase('get')
+        counter.increment('get')
+        counter.increment('put', by=2)
+        counter.increment('get')
         self.assertEqual((2, 2), (counter.read('get'), counter.read('put')))
 
     def test_quantiles_are_near_the_recorded_values(self):
@@ -81,7 +81,7 @@
 
     def test_exposition_has_help_type_and_escaped_labels(self):
         counter = metrics.Counter('odd', 'Odd names.', ('name',))
-        counter.increase('a"b\\c\nd')
+        counter.increment('a"b\\c\nd')
         lines = metrics.render(counter).splitlines()
         self.assertIn('# HELP odd Odd names.', lines)
         self.assertIn('# TYPE odd counter', lines)
--- a/tests/test_openapi.py
+++ b/tests/test_openapi.py
@@ -93,7 +93,7 @@
             'catalogue', CATALOGUE.read_text(encoding='utf-8')
         )
         self.unready = ''
-        self.entry.find_unready = lambda: self.unready
+        self.entry.find_unready_reason = lambda: self.unready
         self.entry.tasks = TaskStub()
         self.entry.quick = QuickStub()
         self.app = gateway.Gateway(self.entry).app
@@ -121,8 +121,10 @@
         await self._exercise_responses()
         await self._exercise_faults()
         await self._exercise_instance_paths()
-        self.assertEqual(self.contract.list_answers(), self.contract.met)
-        self.assertEqual(self.contract.list_fields(), self.contract.met_fields)
+        self.assertEqual(self.contract.list_responses(), self.contract.covered)
+        self.assertEqual(
+            self.contract.list_fields(), self.contract.covered_fields
+        )
 
     async def _exercise_responses(self):
         await self.send('POST', QUICK, REQUESTS)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -69,7 +69,7 @@
     def test_every_status_is_in_the_callers_interface(self):
         statuses = list_constants(list_calls({'Problem'}), 0)
         documented = {
-            status for _, _, status in contract.Contract().list_answers()
+            status for _, _, status in contract.Contract().list_responses()
         }
         self.assertIn(503, statuses)
         self.assertEqual(set(), {str(s) for s in statuses} - documented)
--- a/tests/test_quick_keys.py
+++ b/tests/test_quick_keys.py
@@ -90,7 +90,7 @@
                 self.fail('the killed entry answered')
 
             async def kill_when_running() -> None:
-                await site.wait_work()
+                await site.wait_work_started()
                 site.entries[0].send_signal(signal.SIGKILL)
 
             await quickcase.gather(lose_answer(), kill_when_running())
@@ -109,7 +109,7 @@
         async with self.open_pairs() as site:
 
             async def kill_when_running() -> None:
-                name = await site.wait_work()
+                name = await site.wait_work_started()
                 site.running.processes[name].send_signal(signal.SIGKILL)
 
             first, _ = await quickcase.gather(
--- a/tests/test_quick_processes.py
+++ b/tests/test_quick_processes.py
@@ -121,7 +121,7 @@
             await site.add_sidecar('two')
             await site.wait_ready('one', 'two')
             entry = site.entries[0]
-            await site.tell_backend('two', 'leave')
+            await site.send_backend_action('two', 'leave')
             await entry.wait_event('leaving', instance='two')
             ended: list[str] = []
 
@@ -134,7 +134,7 @@
             async def kill_when_running() -> None:
                 backend = site.running.processes['backend-one']
                 await backend.wait_event('work', count=2)
-                await site.tell_backend('two', 'return')
+                await site.send_backend_action('two', 'return')
                 await entry.wait_event('serving', instance='two')
                 one.send_signal(signal.SIGKILL)
 
--- a/tests/test_quick_stops.py
+++ b/tests/test_quick_stops.py
@@ -19,7 +19,7 @@
             one = await site.add_sidecar('one')
             await site.add_sidecar('two')
             await site.wait_ready('one', 'two')
-            await site.tell_backend('one', 'leave')
+            await site.send_backend_action('one', 'leave')
             await one.wait_event('backend-leaving')
             await site.entries[0].wait_event('leaving', instance='one')
             for number in range(20):
@@ -27,7 +27,7 @@
                 self.assertEqual(200, answer.status_code)
             self.assertEqual([], await site.read_record('one'))
             self.assertEqual([], one.find('admission'))
-            await site.tell_backend('one', 'return')
+            await site.send_backend_action('one', 'return')
             await site.entries[0].wait_event('serving', instance='one')
 
     async def test_leaving_is_kept_while_its_report_is_lost(self):
@@ -45,7 +45,7 @@
             await site.add_sidecar('two')
             await site.wait_ready('one', 'two')
             await site.running.set_faults(control, mode='freeze')
-            await site.tell_backend('one', 'leave')
+            await site.send_backend_action('one', 'leave')
             await one.wait_event('backend-leaving')
             for number in range(20):
                 answer = await site.post('order', {'n': number})
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,7 +16,7 @@
             return 'state'
 
         async with anyio.create_task_group() as group:
-            group.start_soon(stop.wait_unless_begun, wait, 3600)
+            group.start_soon(stop.wait_unless_stopping, wait, 3600)
             await anyio.wait_all_tasks_blocked()
             stop.begun.set()
         self.assertEqual([3600, 0], waits)
@@ -32,12 +32,12 @@
             raise problems.Problem(404, 'No such task', problems.NOT_RUN)
 
         with self.assertRaises(problems.Problem):
-            await shutdown.Stop().wait_unless_begun(wait, 30)
+            await shutdown.Stop().wait_unless_stopping(wait, 30)
 
 
 class CallsTest(base.TestCase):
     async def test_idle_is_reached_when_the_last_call_ends(self):
-        calls = shutdown.Calls()
+        calls = shutdown.CallTracker()
         ended = []
 
         async def wait():
--- a/tools/bench/tenancy.py
+++ b/tools/bench/tenancy.py
@@ -201,7 +201,7 @@
 
     def list_live(self, service: str = '') -> list[fleet_module.Instance]:
         """Return the instances that were heard of lately."""
-        oldest = self._clock.now - self._silence
+        oldest = self._clock.now - self._timeout
         return [i for i in self._instances.values() if i.reported_at >= oldest]
 
 
--- a/tools/guard_list_catalogue.py
+++ b/tools/guard_list_catalogue.py
@@ -79,7 +79,7 @@
     _make(
         'word of a fresh entry',
         'sidecars/instance.py',
-        'if time.monotonic() - self.confirmed_at <= self.notice_limit:',
+        'if time.monotonic() - self.confirmed_at <= self.max_evidence_age:',
         'if True:',
         _PEERS,
     ),
--- a/tools/measure_audit.py
+++ b/tools/measure_audit.py
@@ -10,7 +10,7 @@
 import sys
 import tempfile
 
-from tests import story as story_module
+from tests import scenarios
 
 _COPIES = (1000, 2000, 4000, 8000, 16000)
 _STEP = 5.0
@@ -35,9 +35,9 @@
     int
         How many lines were written.
     """
-    story = story_module.make_story()
-    repeated = [line for line in story.lines if 'request-' in line.format()]
-    other = [line for line in story.lines if line not in repeated]
+    scenario = scenarios.make_scenario()
+    repeated = [line for line in scenario.lines if 'request-' in line.format()]
+    other = [line for line in scenario.lines if line not in repeated]
     paths = {}
     lines = 0
     first = -_STEP * copies
--- a/tools/slope_fakes.py
+++ b/tools/slope_fakes.py
@@ -81,7 +81,7 @@
         """Serve the control protocol behind the counting proxy."""
         server = grpclib.server.Server([self])
         sock = addresses.bind('127.0.0.1:0')
-        self.proxy.target = addresses.name_of(sock)
+        self.proxy.target = addresses.format_address(sock)
         await server.start(sock=sock)
         return server
 
@@ -116,7 +116,7 @@
     async def StartTask(self, stream) -> None:
         """Admit a task."""
         request = await stream.recv_message()
-        self.own.note_revision(request.revision)
+        self.own.record_revision(request.revision)
         size = admission.read_size(request.size)
         self.own.commitments.try_commit(f'task/{request.task}', size)
         self.tasks[request.task] = _Running(
@@ -303,7 +303,7 @@
     entry = FakeEntry()
     server = grpclib.server.Server([entry])
     sock = addresses.bind('127.0.0.1:0')
-    target = addresses.name_of(sock)
+    target = addresses.format_address(sock)
     await server.start(sock=sock)
     async with slope_meter.CountingProxy(target) as proxy:
         try:
