--- a/src/persimmonsail/catalogues/__init__.py
+++ b/src/persimmonsail/catalogues/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' catalogue, and which revision of it is in force."""
+"""The operators' catalogue, and the revision of it in force."""
--- a/src/persimmonsail/catalogues/catalogue.py
+++ b/src/persimmonsail/catalogues/catalogue.py
@@ -26,7 +26,7 @@
 
 
 class Objective(enum.StrEnum):
-    """What a team weighs most."""
+    """What the scheduler optimises for a team."""
 
     TAIL_LATENCY = 'tail-latency'
     THROUGHPUT = 'throughput'
@@ -68,7 +68,7 @@
 
 
 EMPTY = Catalogue('', {}, {})
-_KINDS: dict[str, type[settings.Section]] = {
+_SECTION_MODELS: dict[str, type[settings.Section]] = {
     'team': Team,
     'workload': Workload,
 }
@@ -80,7 +80,7 @@
     Parameters
     ----------
     file : str
-        The name to report findings under.
+        The file name given in findings.
     text : str
         INI text, at most a megabyte in UTF-8.
 
@@ -92,20 +92,20 @@
     Raises
     ------
     persimmonsail.exceptions.InvalidInput
-        With every finding of the text.
+        With every finding in the text.
     """
     collector = findings.Collector(f'catalogue in {file}')
-    places = findings.Places(file, text)
+    locations = findings.Places(file, text)
     if len(text.encode()) > MAX_BYTES:
-        collector.add(places.find(), f'more than {MAX_BYTES} bytes')
+        collector.add(locations.find(), f'more than {MAX_BYTES} bytes')
     parser = findings.read_ini(file, text, collector)
-    found: dict[str, dict[str, t.Any]] = {kind: {} for kind in _KINDS}
+    found: dict[str, dict[str, t.Any]] = {kind: {} for kind in _SECTION_MODELS}
     for section in parser.sections():
         kind, _, name = section.partition(' ')
-        model = _KINDS.get(kind)
+        model = _SECTION_MODELS.get(kind)
         if model is None or not name.strip():
             collector.add(
-                places.find(section),
+                locations.find(section),
                 'section must be [team NAME] or [workload NAME]',
             )
             continue
@@ -114,26 +114,26 @@
                 dict(parser[section])
             )
         except pydantic.ValidationError as error:
-            collector.add_validation(places, section, error, model)
-    _check_names(parser, places, collector)
-    _check_owners(parser, places, collector)
+            collector.add_validation(locations, section, error, model)
+    _check_names(parser, locations, collector)
+    _check_owners(parser, locations, collector)
     collector.raise_if_any()
     return Catalogue(text, found['team'], found['workload'])
 
 
-def _check_names(parser, places, collector) -> None:
+def _check_names(parser, locations, collector) -> None:
     seen: dict[tuple[str, ...], str] = {}
     for section in parser.sections():
         words = tuple(section.split())
         if words in seen:
             collector.add(
-                places.find(section),
-                f'defined before as [{seen[words]}]; allowed: once',
+                locations.find(section),
+                f'already defined as [{seen[words]}]; allowed: once',
             )
         seen.setdefault(words, section)
 
 
-def _check_owners(parser, places, collector) -> None:
+def _check_owners(parser, locations, collector) -> None:
     teams = {
         section.partition(' ')[2].strip()
         for section in parser.sections()
@@ -144,13 +144,13 @@
         if section.startswith('workload ') and owner and owner not in teams:
             allowed = ', '.join(sorted(teams)) or 'none is defined'
             collector.add(
-                places.find(section, 'owner'),
+                locations.find(section, 'owner'),
                 f'no [team {owner}] in this catalogue; allowed: {allowed}',
             )
 
 
 def diff(old: str, new: str, old_name: str, new_name: str) -> str:
-    """Return the unified difference of two catalogue texts."""
+    """Return a unified diff of two catalogue texts."""
     lines = difflib.unified_diff(
         old.splitlines(), new.splitlines(), old_name, new_name, lineterm=''
     )
--- a/src/persimmonsail/catalogues/catalogue_store.py
+++ b/src/persimmonsail/catalogues/catalogue_store.py
@@ -1,4 +1,4 @@
-"""The operators' side of the catalogue: read, and swap in a new one."""
+"""The operators' access to the catalogue: reads and swaps."""
 
 import dataclasses
 import uuid
@@ -11,13 +11,13 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-_TRIES = 5
-_RETRY_DELAY = 0.3
+_MAX_TRIES = 5
+_RETRY_DELAY_SECONDS = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class Base:
-    """The head that an edit replaces, and the revision of its key."""
+    """The head that an edit replaces, and its revision in the store."""
 
     head: revisions.Head
     key_revision: int
@@ -33,7 +33,7 @@
         """Return the head with its text."""
         found = await self._store.get(revisions.HEAD_KEY)
         if found is None:
-            return Base(revisions.NOTHING, 0)
+            return Base(revisions.NO_HEAD, 0)
         head = revisions.load_head(found.value)
         return Base(
             await follower.read_text(self._store, head), found.revision
@@ -52,7 +52,7 @@
         return [found[revision] for revision in sorted(found)]
 
     async def read_revision(self, revision: int) -> revisions.Head | None:
-        """Return an accepted head with its text, or nothing."""
+        """Return an accepted head with its text, or None."""
         for head in await self.read_history():
             if head.revision == revision:
                 return await follower.read_text(self._store, head)
@@ -62,14 +62,14 @@
         """Replace the head that was read, and return the new one.
 
         The replaced head is first copied to the history, so that the
-        history has every revision whenever a swap has taken effect.
+        history is complete whenever a swap has taken effect.
 
         Raises
         ------
         persimmonsail.exceptions.Conflict
             If another operator's edit was accepted first.
         persimmonsail.exceptions.OutcomeUnknown
-            If the swap was sent and its answer can't be had.
+            If the swap was sent but its outcome cannot be determined.
         persimmonsail.exceptions.StoreUnavailable
             If the store failed before the swap was sent.
         """
@@ -85,15 +85,15 @@
         if base.head.revision:
             await self._retry_put(
                 f'{revisions.HISTORY_PREFIX}{base.head.revision:08d}',
-                _dump_small(base.head),
+                _dump_without_text(base.head),
             )
         try:
             await self._retry_put(
-                revisions.HEAD_KEY, _dump_small(head), base.key_revision
+                revisions.HEAD_KEY, _dump_without_text(head), base.key_revision
             )
         except exceptions.Conflict:
-            # The first try's answer may have been lost after it took
-            # effect; the id tells whose edit stands.
+            # An earlier try may have taken effect and lost its answer;
+            # the id shows whose edit was accepted.
             if not await self._resolve(head):
                 await self._discard(text_key)
                 raise
@@ -117,15 +117,15 @@
     async def _retry_put(
         self, key: str, value: str, expected: int | None = None
     ) -> None:
-        for remaining in reversed(range(_TRIES)):
+        for remaining in reversed(range(_MAX_TRIES)):
             try:
                 await self._store.put(key, value, expected)
                 return
             except exceptions.StoreUnavailable:
                 if not remaining:
                     raise
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
 
 
-def _dump_small(head: revisions.Head) -> str:
+def _dump_without_text(head: revisions.Head) -> str:
     return revisions.dump_head(dataclasses.replace(head, text=''))
--- a/src/persimmonsail/catalogues/follower.py
+++ b/src/persimmonsail/catalogues/follower.py
@@ -1,4 +1,4 @@
-"""Following the store's catalogue by watch and by slow poll."""
+"""Follows the store's catalogue by watch and by a slow poll."""
 
 import time
 
@@ -10,22 +10,22 @@
 from persimmonsail import store as store_module
 
 _WATCH_SECONDS = 10.0
-_RETRY_DELAY = 0.3
-_MIN_PERIOD = 0.05
-_UNREADABLE_DELAY = 1.0
+_RETRY_DELAY_SECONDS = 0.3
+_MIN_POLL_SECONDS = 0.05
+_UNREADABLE_DELAY_SECONDS = 1.0
 
 
 class Follower:
-    """Keeps a view up to date from the store."""
+    """Updates a view from the store."""
 
     def __init__(
         self, store: store_module.Store, view: revisions.View, poll: float
     ) -> None:
         self._store = store
         self._view = view
-        self._poll = poll
-        self._wanted = anyio.Event()
-        self._polled = anyio.Event()
+        self._poll_seconds = poll
+        self._poll_requested = anyio.Event()
+        self._poll_done = anyio.Event()
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -34,57 +34,59 @@
             group.start_soon(self._run_watch)
 
     async def refresh(self, seconds: float) -> None:
-        """Wait at most so long for evidence that is younger than now.
+        """Wait up to a time limit for evidence newer than this call.
 
-        Many who wait at once share one read of the store.
+        Concurrent callers share one read of the store.
         """
         begun = time.monotonic()
-        self._wanted.set()
+        self._poll_requested.set()
         with anyio.move_on_after(seconds):
             while self._view.confirmed_at < begun:
-                await self._polled.wait()
+                await self._poll_done.wait()
 
     async def read_head(self) -> None:
-        """Ask the store for the head once.
+        """Read the head from the store once.
 
         Raises
         ------
         persimmonsail.exceptions.StoreError
-            If the store gave no answer.
+            If the store did not answer.
         persimmonsail.exceptions.CatalogueUnreadable
-            If what it holds is no head, or its text is missing.
+            If the stored value is not a head, or its text is missing.
         """
         asked_at = time.monotonic()
         found = await self._store.get(revisions.HEAD_KEY)
-        head = revisions.NOTHING
+        head = revisions.NO_HEAD
         if found is not None:
             head = revisions.load_head(found.value)
-        await self._take(head, 'poll')
+        await self._accept_head(head, 'poll')
         self._view.confirm(head, asked_at)
 
-    async def _take(self, head: revisions.Head, source: str) -> None:
+    async def _accept_head(self, head: revisions.Head, source: str) -> None:
         if head.revision <= max(self._view.revision, self._view.refused):
             return
         self._view.offer(await read_text(self._store, head), source)
 
     async def _run_polls(self) -> None:
-        # A watch can go silent for good without an error; the poll
-        # bounds how long a change can stay unseen.
+        # A watch can stop delivering for good without an error; the
+        # poll bounds how long a change can go unnoticed.
         while True:
             try:
                 await self.read_head()
-                self._polled.set()
-                self._polled = anyio.Event()
-                await anyio.sleep(_MIN_PERIOD)
-                with anyio.move_on_after(self._poll - _MIN_PERIOD):
-                    await self._wanted.wait()
-                self._wanted = anyio.Event()
+                self._poll_done.set()
+                self._poll_done = anyio.Event()
+                await anyio.sleep(_MIN_POLL_SECONDS)
+                with anyio.move_on_after(
+                    self._poll_seconds - _MIN_POLL_SECONDS
+                ):
+                    await self._poll_requested.wait()
+                self._poll_requested = anyio.Event()
             except exceptions.StoreError as error:
                 logs.write_event('store-unavailable', error=error)
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
             except exceptions.CatalogueUnreadable as error:
                 logs.write_warning('catalogue-unreadable', error=error)
-                await anyio.sleep(_UNREADABLE_DELAY)
+                await anyio.sleep(_UNREADABLE_DELAY_SECONDS)
 
     async def _run_watch(self) -> None:
         after = 0
@@ -95,19 +97,19 @@
                 )
                 for item in page.items:
                     head = revisions.load_head(item.value)
-                    await self._take(head, 'watch')
+                    await self._accept_head(head, 'watch')
                 after = page.revision
             except exceptions.StoreError:
-                await anyio.sleep(_RETRY_DELAY)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
             except exceptions.CatalogueUnreadable:
-                # The poll reports it.
-                await anyio.sleep(_UNREADABLE_DELAY)
+                # The poll logs it.
+                await anyio.sleep(_UNREADABLE_DELAY_SECONDS)
 
 
 async def read_text(
     store: store_module.Store, head: revisions.Head
 ) -> revisions.Head:
-    """Return a head read from the store together with its text."""
+    """Return a head with its text, which is read from the store."""
     found = await store.get(revisions.TEXT_PREFIX + head.id)
     if found is None:
         raise exceptions.CatalogueUnreadable(
--- a/src/persimmonsail/catalogues/revisions.py
+++ b/src/persimmonsail/catalogues/revisions.py
@@ -1,10 +1,10 @@
-"""The catalogue revision in force in a process, and when to trust it.
+"""The catalogue revision in force in a process, and its freshness.
 
 The store holds one small head that names the revision in force; its
-text is a key of its own, written before the head, so that a poll costs
+text has a key of its own, written before the head, so that a poll reads
 some hundred bytes whatever the catalogue's size. A change is accepted
 once a compare-and-swap has replaced the head. A process applies a
-revision only if it is higher than the highest that it has seen.
+revision only if it is higher than every revision it has observed.
 """
 
 import dataclasses
@@ -26,20 +26,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Head:
-    """An accepted catalogue; ``id`` tells whose swap it came from.
+    """An accepted catalogue; ``id`` identifies the swap that stored it.
 
     Attributes
     ----------
     revision : int
         Counts accepted changes; 0 for none.
     id : str
-        Drawn anew for each try of an operator.
+        Random, generated for each swap.
     author : str
         Who applied it.
     text : str
         The catalogue's INI text; empty in the store's head key.
     applied_at : float
-        Wall clock seconds of the operator's machine, for people only.
+        Wall clock seconds of the operator's machine; informational.
     """
 
     revision: int
@@ -49,13 +49,13 @@
     applied_at: float = 0.0
 
 
-NOTHING = Head(0, '', '', '')
-_HEAD = pydantic.TypeAdapter(Head)
+NO_HEAD = Head(0, '', '', '')
+_HEAD_ADAPTER = pydantic.TypeAdapter(Head)
 
 
 def dump_head(head: Head) -> str:
     """Return a head as JSON text."""
-    return _HEAD.dump_json(head).decode()
+    return _HEAD_ADAPTER.dump_json(head).decode()
 
 
 def load_head(text: str) -> Head:
@@ -64,17 +64,17 @@
     Raises
     ------
     persimmonsail.exceptions.CatalogueUnreadable
-        If the text is no head.
+        If the text is not a head.
     """
     try:
-        return _HEAD.validate_json(text)
+        return _HEAD_ADAPTER.validate_json(text)
     except pydantic.ValidationError as error:
         raise exceptions.CatalogueUnreadable(
             f'no catalogue head: {error.error_count()} errors'
         ) from error
 
 
-def _never() -> float:
+def _find_no_evidence() -> float:
     return -math.inf
 
 
@@ -84,18 +84,18 @@
     Parameters
     ----------
     freshness : float, optional
-        Seconds for which the evidence that nothing higher was accepted
-        holds; without it the view always counts as fresh.
+        Seconds for which evidence that nothing higher was accepted
+        remains valid; by default the view always counts as fresh.
 
     Attributes
     ----------
     refused : int
-        A higher revision that this process can't read; 0 for none.
+        A higher revision that this process cannot parse; 0 for none.
     established : bool
         Whether this process has itself read the store's head.
     witness : callable
-        Returns the monotonic time at which all peers together showed
-        that none had a higher revision.
+        Returns the monotonic time at which the answers of all peers
+        showed that none had a higher revision.
     """
 
     def __init__(self, freshness: float = math.inf) -> None:
@@ -104,36 +104,36 @@
         self.confirmed_at = -math.inf
         self.refused = 0
         self.established = False
-        self.witness: t.Callable[[], float] = _never
+        self.witness: t.Callable[[], float] = _find_no_evidence
         self.changed = anyio.Event()
         self._freshness = freshness
-        self._head = NOTHING
+        self._head = NO_HEAD
         self._applied_at = -math.inf
 
     @property
     def age(self) -> float:
-        """Seconds since the revision was last confirmed to be newest."""
+        """Seconds since the revision was last confirmed as the newest."""
         return time.monotonic() - self.confirmed_at
 
     @property
     def evidence_at(self) -> float:
-        """When nothing higher was accepted for sure, in seconds."""
+        """Monotonic time of the latest evidence that nothing is higher."""
         return max(self.confirmed_at, self.witness())
 
     @property
     def is_fresh(self) -> bool:
         """Whether work may be admitted under this revision now.
 
-        A process that is cut off from store and peers does not hear of
-        an accepted change and would go on under the replaced one. Its
-        evidence then grows old, and it stops.
+        A process that is partitioned from store and peers misses
+        accepted changes and would go on enforcing the replaced one. Its
+        evidence then expires, and it stops admitting.
         """
         if self.refused:
             return False
         return time.monotonic() - self.evidence_at <= self._freshness
 
     def find_staleness(self) -> str:
-        """Return why nothing may be admitted; empty if it may."""
+        """Return why no work may be admitted; empty if it may be."""
         if self.refused:
             return f'catalogue revision {self.refused} cannot be read here'
         if not self.is_fresh:
@@ -143,8 +143,8 @@
     def offer(self, head: Head, source: str) -> bool:
         """Apply a head, unless a later one is in force.
 
-        The comparison answers a slow poll's or a peer's late answer: it
-        would otherwise bring an edit back that was already replaced.
+        The comparison rejects late answers of a slow poll or of a peer,
+        which would restore an edit that was already replaced.
 
         Parameters
         ----------
@@ -156,15 +156,15 @@
         Returns
         -------
         bool
-            Whether it is in force now.
+            Whether it was applied.
         """
         if head.revision <= max(self.revision, self.refused):
             return False
         try:
             parsed = catalogue.parse('catalogue', head.text)
         except exceptions.InvalidInput as error:
-            # An older version of this program meets a newer catalogue.
-            # What it can't read it can't enforce, so it stops admitting.
+            # The catalogue is meant for a newer version of this program.
+            # What cannot be parsed cannot be enforced: admission stops.
             self.refused = head.revision
             logs.write_warning(
                 'catalogue-refused',
@@ -191,14 +191,14 @@
         return True
 
     def confirm(self, head: Head, asked_at: float) -> bool:
-        """Take a head, read after a time, as evidence of freshness.
+        """Accept a head, read after a time, as evidence of freshness.
 
         Parameters
         ----------
         head : Head
-            What was found; its text is not needed.
+            The head that was read; its text is not used.
         asked_at : float
-            Monotonic seconds before the question was sent: a change
+            Monotonic time before the request was sent: a change
             accepted since may be missing from the answer.
 
         Returns
@@ -209,12 +209,12 @@
         if head.revision > self.revision:
             return False
         forked = head.revision == self.revision and head.id != self._head.id
-        went_back = (
+        reverted = (
             head.revision < self.revision and asked_at > self._applied_at
         )
-        if forked or went_back:
-            # A store that was restored from an old copy forgot accepted
-            # changes; its word is no evidence, and nothing goes back.
+        if forked or reverted:
+            # A store restored from an old backup lacks accepted changes:
+            # it gives no evidence, and the revision in force stays.
             logs.write_warning(
                 'catalogue-went-back',
                 store_revision=head.revision,
@@ -232,7 +232,7 @@
 
 
 async def watch_freshness(view: View, period: float) -> None:
-    """Log when a view stops or starts being fresh, until cancelled."""
+    """Log when a view becomes fresh or stale, until cancelled."""
     fresh = False
     while True:
         if view.is_fresh != fresh:
--- a/src/persimmonsail/operators/catalogue_arguments.py
+++ b/src/persimmonsail/operators/catalogue_arguments.py
@@ -1,4 +1,4 @@
-"""The command line of the operators' commands, with examples."""
+"""Command-line arguments of the operators' commands."""
 
 import argparse
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Action:
-    """One ``catalogue`` command: what it does, and an example."""
+    """One ``catalogue`` command: its help and an example."""
 
     help: str
     description: str
@@ -22,7 +22,7 @@
         'print the catalogue in force',
         'Print the catalogue in force, or an earlier revision. The first '
         'line names the revision; leave it in the file that you edit, so '
-        'that apply can tell whether somebody else was faster.',
+        'that apply can detect a concurrent edit.',
         'persimmonsail catalogue show --store 10.0.0.5:4000 > mine.ini',
     ),
     'history': _Action(
@@ -32,8 +32,8 @@
     ),
     'check': _Action(
         'validate a catalogue file',
-        'Report everything that is wrong in a file, with its place and '
-        'what is allowed. Needs no store.',
+        'Report every error in a file, with its location and the '
+        'allowed values. Needs no store.',
         'persimmonsail catalogue check mine.ini',
         takes_file=True,
         needs_store=False,
@@ -45,11 +45,12 @@
         takes_file=True,
     ),
     'apply': _Action(
-        'put a file in force, if nobody else was faster',
+        'put a file in force, unless it lost a race',
         'Put a file in force by compare-and-swap on the revision that it '
-        'was edited from. The loser of a race is told who won and the '
-        'difference. Prints "accepted" once the swap stands and, with '
-        '--wait, "in-force" once every live process confirmed it.',
+        'was edited from. If another edit was accepted first, prints its '
+        'author and the difference. Prints "accepted" once the swap has '
+        'succeeded and, with --wait, "in-force" once every live process '
+        'has confirmed it.',
         'persimmonsail catalogue apply mine.ini --wait 10 '
         '--store 10.0.0.5:4000',
         takes_file=True,
@@ -81,7 +82,7 @@
         if name == 'show':
             parser.add_argument(
                 '--revision',
-                type=_read_count,
+                type=_parse_revision,
                 help='an earlier revision instead of the one in force',
             )
         if name == 'apply':
@@ -91,7 +92,7 @@
 def _add_apply(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         '--base',
-        type=_read_base,
+        type=_parse_base,
         help="the revision that the edit was made from (default: the file's "
         'first line as printed by show); "head" replaces whatever is in force',
     )
@@ -100,11 +101,11 @@
     )
     parser.add_argument(
         '--wait',
-        type=_read_seconds,
+        type=_parse_seconds,
         default=0.0,
         metavar='SECONDS',
-        help='wait at most so long until every live entry and sidecar '
-        'confirmed the revision',
+        help='maximum time to wait until every live entry and sidecar '
+        'has confirmed the revision',
     )
 
 
@@ -112,7 +113,7 @@
     """Add the ``status`` command."""
     parser = commands.add_parser(
         'status',
-        help='ask the live entries how they stand',
+        help='show the state of the live entries',
         description='Print a key=value line for each live entry (revision, '
         'readiness,\npartitions held) and each instance that it sees.',
         epilog='example: persimmonsail status --store 10.0.0.5:4000\n'
@@ -130,7 +131,7 @@
 
 
 def add_store(parser: argparse.ArgumentParser, required: bool = True) -> None:
-    """Add how the store is reached."""
+    """Add the options that select the store."""
     parser.add_argument(
         '--store', required=required, default='', help='host:port'
     )
@@ -139,19 +140,19 @@
     )
     parser.add_argument(
         '--timeout',
-        type=_read_seconds,
+        type=_parse_seconds,
         default=2.0,
         help='seconds for each call to the store (default: %(default)s)',
     )
 
 
-def _read_count(text: str) -> int:
+def _parse_revision(text: str) -> int:
     if not text.isdecimal():
         raise argparse.ArgumentTypeError(f'not a revision: {text!r}')
     return int(text)
 
 
-def _read_base(text: str) -> str:
+def _parse_base(text: str) -> str:
     if text != 'head' and not text.isdecimal():
         raise argparse.ArgumentTypeError(
             f'not a revision: {text!r}; allowed: a number, or head'
@@ -159,13 +160,13 @@
     return text
 
 
-def _read_seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         seconds = float(text)
     except ValueError:
         seconds = -1.0
     if not 0 <= seconds <= 3600:
         raise argparse.ArgumentTypeError(
-            f'not seconds: {text!r}; allowed: 0 to 3600'
+            f'not a number of seconds: {text!r}; allowed: 0 to 3600'
         )
     return seconds
--- a/src/persimmonsail/operators/commands.py
+++ b/src/persimmonsail/operators/commands.py
@@ -20,7 +20,7 @@
 from persimmonsail import store as store_module
 
 HEAD_BASE = 'head'
-_HEADER = re.compile(r'^; revision (?P<revision>\d+)\b')
+_REVISION_HEADER = re.compile(r'^; revision (?P<revision>\d+)\b')
 
 _OfflineCommand = t.Callable[[argparse.Namespace], int]
 _Command = t.Callable[
@@ -28,13 +28,15 @@
 ]
 OFFLINE_COMMANDS: dict[str, _OfflineCommand] = {}
 COMMANDS: dict[str, _Command] = {}
-_F = t.TypeVar('_F', bound=t.Callable[..., t.Any])
+_CommandT = t.TypeVar('_CommandT', bound=t.Callable[..., t.Any])
 
 
-def register(name: str, registry: dict[str, t.Any]) -> t.Callable[[_F], _F]:
+def register(
+    name: str, registry: dict[str, t.Any]
+) -> t.Callable[[_CommandT], _CommandT]:
     """Add a command under ``persimmonsail catalogue NAME``."""
 
-    def add(command: _F) -> _F:
+    def add(command: _CommandT) -> _CommandT:
         registry[name] = command
         return command
 
@@ -51,15 +53,15 @@
     try:
         return await COMMANDS[arguments.action](arguments, store)
     except exceptions.StoreUnavailable as error:
-        _complain(f'the store gave no answer: {error}')
+        _print_error(f'the store did not answer: {error}')
         if arguments.action == 'apply':
-            _complain(
+            _print_error(
                 'not accepted: the swap was not sent; nothing has changed. '
                 'Run the same command again once the store answers'
             )
         return exits.UNAVAILABLE
     except exceptions.CatalogueUnreadable as error:
-        _complain(f'the store holds no readable catalogue: {error}')
+        _print_error(f'the store holds no readable catalogue: {error}')
         return exits.BROKEN
     finally:
         await store.close()
@@ -76,13 +78,13 @@
 async def _show(
     arguments: argparse.Namespace, store: store_module.Store
 ) -> int:
-    kept = catalogue_store.CatalogueStore(store)
+    catalogues = catalogue_store.CatalogueStore(store)
     if arguments.revision is None:
-        head = (await kept.read()).head
+        head = (await catalogues.read()).head
     else:
-        head = await kept.read_revision(arguments.revision)
+        head = await catalogues.read_revision(arguments.revision)
         if head is None:
-            _complain(f'no revision {arguments.revision} was ever accepted')
+            _print_error(f'no revision {arguments.revision} was ever accepted')
             return exits.INVALID_INPUT
     print(f'; revision {head.revision} by {head.author or "nobody"}')
     print(_strip_header(head.text), end='')
@@ -113,11 +115,11 @@
     arguments: argparse.Namespace, store: store_module.Store
 ) -> int:
     new = _read_file(arguments.file)
-    kept = catalogue_store.CatalogueStore(store)
-    base = await kept.read()
+    catalogues = catalogue_store.CatalogueStore(store)
+    base = await catalogues.read()
     edited_from = _find_base(arguments.base, new, base.head.revision)
     if edited_from is None:
-        _complain(
+        _print_error(
             'not accepted: the file does not say which revision it was '
             f'edited from, and revision {base.head.revision} is in force. '
             'Start from `persimmonsail catalogue show`, or give --base N, '
@@ -128,9 +130,11 @@
         return _report_lost_race(base.head, new, arguments)
     author = arguments.author or getpass.getuser()
     try:
-        accepted = await kept.swap(base, _strip_header(new), author)
+        accepted = await catalogues.swap(base, _strip_header(new), author)
     except exceptions.Conflict:
-        return _report_lost_race((await kept.read()).head, new, arguments)
+        return _report_lost_race(
+            (await catalogues.read()).head, new, arguments
+        )
     except exceptions.OutcomeUnknown as error:
         _report_unknown(error, base.head.revision)
         return exits.OUTCOME_UNKNOWN
@@ -161,10 +165,10 @@
     if not missing:
         print(f'in-force revision={accepted.revision}')
         return exits.OK
-    for one in missing:
-        line = {'unconfirmed': one.name, 'reason': one.reason}
-        _complain(logs.format_line(line))
-    _complain(
+    for process in missing:
+        fields = {'unconfirmed': process.name, 'reason': process.reason}
+        _print_error(logs.format_line(fields))
+    _print_error(
         f'accepted, but not yet confirmed in force within {seconds:g} s. '
         'Do not apply it again: it stays accepted. See `persimmonsail status`'
     )
@@ -176,14 +180,14 @@
         return in_force
     if given is not None:
         return int(given)
-    if header := _HEADER.match(text):
+    if header := _REVISION_HEADER.match(text):
         return int(header['revision'])
     return None if in_force else 0
 
 
 def _strip_header(text: str) -> str:
-    # A kept header would name the edit's base for ever.
-    if _HEADER.match(text):
+    # Stored with the text, it would name this edit's base for good.
+    if _REVISION_HEADER.match(text):
         return text.partition('\n')[2]
     return text
 
@@ -195,12 +199,12 @@
 
 
 def _describe(head: revisions.Head) -> str:
-    moment = datetime.datetime.fromtimestamp(head.applied_at, datetime.UTC)
+    applied_at = datetime.datetime.fromtimestamp(head.applied_at, datetime.UTC)
     return logs.format_line(
         {
             'revision': head.revision,
             'author': head.author,
-            'applied': moment.isoformat(timespec='seconds'),
+            'applied': applied_at.isoformat(timespec='seconds'),
             'id': head.id,
         }
     )
@@ -216,20 +220,20 @@
 
 
 def _report_lost_race(
-    won: revisions.Head, new: str, arguments: argparse.Namespace
+    winner: revisions.Head, new: str, arguments: argparse.Namespace
 ) -> int:
-    _complain(
-        f'not accepted: revision {won.revision} by {won.author} won. '
+    _print_error(
+        f'not accepted: revision {winner.revision} by {winner.author} won. '
         f'Your edit is kept in {arguments.file}; its difference from the '
         'revision that won follows'
     )
-    _complain(_describe(won))
-    _complain(_diff_to(won, new, str(arguments.file)))
+    _print_error(_describe(winner))
+    _print_error(_diff_to(winner, new, str(arguments.file)))
     return exits.LOST_RACE
 
 
 def _report_unknown(error: exceptions.OutcomeUnknown, base: int) -> None:
-    _complain(
+    _print_error(
         f'unknown whether revision {base + 1} was accepted: {error}. '
         f'Once the store answers, look for id={error.id} in `persimmonsail '
         f'catalogue history`; if it is absent, apply again with --base {base}'
@@ -237,5 +241,5 @@
     )
 
 
-def _complain(text: str) -> None:
+def _print_error(text: str) -> None:
     print(text, file=sys.stderr)
--- a/tests/catalogues/test_catalogue.py
+++ b/tests/catalogues/test_catalogue.py
@@ -59,7 +59,10 @@
     ('c.ini:9 [workload wire-cut] memory-gb', 'required'),
     ('c.ini:13 [workload wire-cut] colour', 'allowed: accelerators, class'),
     ('c.ini:15 [workload wire-cut]', 'section stands in line 9 too'),
-    ('c.ini:18 [workload  wire-cut]', 'before as [workload wire-cut]'),
+    (
+        'c.ini:18 [workload  wire-cut]',
+        'already defined as [workload wire-cut]',
+    ),
     ('c.ini:24 [wrkload other]', '[team NAME] or [workload NAME]'),
     ('c.ini:27 [DEFAULT]', '[team NAME] or [workload NAME]'),
 )
@@ -75,16 +78,16 @@
         self.assertEqual(['tallowford'], list(found.teams))
         self.assertEqual('tallowford', found.workloads['wire-cut'].owner)
 
-    def test_reports_all_findings_with_place_and_what_is_allowed(self):
+    def test_reports_all_findings_with_location_and_allowed_values(self):
         texts = self.list_findings(catalogue.parse, 'c.ini', BAD)
-        for place, *parts in EXPECTED:
+        for location, *parts in EXPECTED:
             self.assertTrue(
                 any(
-                    text.startswith(f'{place}: ')
+                    text.startswith(f'{location}: ')
                     and all(part in text for part in parts)
                     for text in texts
                 ),
-                f'{place} {parts} not in {texts}',
+                f'{location} {parts} not in {texts}',
             )
         self.assertEqual(len(EXPECTED), len(texts), texts)
 
--- a/tests/catalogues/test_revisions.py
+++ b/tests/catalogues/test_revisions.py
@@ -20,17 +20,17 @@
     return revisions.Head(revision, id or f'id-{revision}', 'ann', text)
 
 
-async def keep(store: memory.MemoryStore, head: revisions.Head) -> None:
+async def store_head(store: memory.MemoryStore, head: revisions.Head) -> None:
     await store.put(revisions.TEXT_PREFIX + head.id, head.text)
     await store.put(revisions.HEAD_KEY, revisions.dump_head(head))
 
 
 class ViewTest(base.TestCase):
     def test_late_answer_brings_no_replaced_edit_back(self):
-        """An accepted edit is undone for a moment.
+        """An accepted edit is temporarily undone.
 
-        A poll is answered late, after the watch has already brought the
-        next revision; the entry takes the poll's old text.
+        A poll is answered late, after the watch has already delivered
+        the next revision, and the entry applies the poll's old text.
         """
         view = revisions.View()
         self.assertTrue(view.offer(make_head(2), 'watch'))
@@ -55,11 +55,11 @@
         self.assertFalse(view.is_fresh)
 
     def test_unreadable_newer_catalogue_stops_admission(self):
-        """A rolling update leaves one old entry, which crashes.
+        """An old entry crashes during a rolling update.
 
         An operator applies a catalogue with a section that only the new
-        version knows; the old entry must neither end nor go on under
-        the replaced revision.
+        version supports; the old entry must neither crash nor continue
+        with the replaced revision.
         """
         view = revisions.View(FRESHNESS)
         view.offer(make_head(1), 'poll')
@@ -73,10 +73,10 @@
         self.assertTrue(view.is_fresh)
 
     def test_store_that_went_back_is_no_evidence(self):
-        """An accepted edit reverts after the store was restored.
+        """An accepted edit is reverted after the store was restored.
 
-        The platform restores an old copy; the store's head is lower
-        than, or forked from, what the entry has in force.
+        The platform restores an old backup; the store's head is lower
+        than, or forked from, the revision in force in the entry.
         """
         view = revisions.View(FRESHNESS)
         view.offer(make_head(2), 'poll')
@@ -86,7 +86,7 @@
         self.assertFalse(view.is_fresh)
         self.assertEqual(2, view.revision)
 
-    def test_head_survives_its_json(self):
+    def test_head_round_trips_through_json(self):
         head = make_head(3)
         loaded = revisions.load_head(revisions.dump_head(head))
         self.assertEqual(head, loaded)
@@ -98,7 +98,7 @@
 class FollowerTest(base.TestCase):
     async def test_poll_reads_the_text_only_when_it_is_new(self):
         store = memory.MemoryStore()
-        await keep(store, make_head(1))
+        await store_head(store, make_head(1))
         view = revisions.View(FRESHNESS)
         follow = follower.Follower(store, view, 1.0)
         await follow.read_head()
@@ -111,11 +111,11 @@
         """A replaced catalogue stays in force too long.
 
         The store answers a poll seconds late; a change accepted in the
-        meantime is not in it. Counting freshness from the answer would
-        stretch the bound by the store's slowness.
+        meantime is not in the answer. Counting freshness from the answer
+        would extend the bound by the store's latency.
         """
         store = memory.MemoryStore()
-        await keep(store, make_head(1))
+        await store_head(store, make_head(1))
         view = revisions.View(FRESHNESS)
         store.faults.delay = 0.05
         asked_at = time.monotonic()
@@ -138,7 +138,7 @@
 
     async def test_lost_head_leaves_the_revision_in_force(self):
         store = memory.MemoryStore()
-        await keep(store, make_head(1))
+        await store_head(store, make_head(1))
         view = revisions.View(FRESHNESS)
         follow = follower.Follower(store, view, 1.0)
         await follow.read_head()
--- a/tests/operators/test_commands.py
+++ b/tests/operators/test_commands.py
@@ -56,8 +56,8 @@
         return self.run_command('catalogue', 'apply', str(self.file), *options)
 
     async def apply_other(self):
-        kept = catalogue_store.CatalogueStore(self.store)
-        await kept.swap(await kept.read(), OTHER, 'bob')
+        catalogues = catalogue_store.CatalogueStore(self.store)
+        await catalogues.swap(await catalogues.read(), OTHER, 'bob')
 
     def test_show_edit_apply(self):
         code, out, _ = self.apply(GOOD, '--author', 'ann')
@@ -79,10 +79,10 @@
         )
 
     def test_edit_without_a_base_replaces_nothing(self):
-        """An operator's edit vanishes without anybody noticing.
+        """An operator's edit is silently overwritten.
 
-        A colleague applies a file of last week, which knows nothing of
-        the edit in force.
+        A colleague applies a file of last week, which lacks the edit in
+        force.
         """
         self.apply(GOOD)
         code, _, err = self.apply(OTHER)
@@ -117,15 +117,15 @@
     def test_lost_answer_of_the_swap_is_resolved(self):
         """An accepted edit is reported as lost.
 
-        The store takes the swap and loses the answer; the retry meets
-        its own write as a conflict.
+        The store commits the swap and loses the answer; the retry
+        conflicts with its own write.
         """
         self.apply(GOOD)
 
-        async def lose():
+        async def lose_answer():
             self.store.faults = memory.Faults(lose_answers=1)
 
-        self.store.hook = lose
+        self.store.hook = lose_answer
         code, out, _ = self.apply(OTHER, '--base', '1')
         self.assertEqual(exits.OK, code)
         self.assertIn('accepted revision=2', out)
@@ -139,7 +139,7 @@
     def test_outage_during_the_swap_is_reported_as_unknown(self):
         """An operator believes an accepted edit to have failed.
 
-        The store goes down when the swap is on its way, and stays down
+        The store goes down while the swap is in flight, and stays down
         for all retries.
         """
         self.apply(GOOD)
@@ -153,8 +153,8 @@
         self.assertIn('unknown whether revision 2 was accepted', err)
         self.assertIn('apply again with --base 1', err)
         self.store.faults = memory.Faults()
-        again = self.apply(OTHER, '--base', '1')
-        self.assertEqual(exits.OK, again[0])
+        retried = self.apply(OTHER, '--base', '1')
+        self.assertEqual(exits.OK, retried[0])
 
     def test_check_needs_no_store(self):
         self.file.write_text(GOOD, encoding='utf-8')
@@ -180,7 +180,7 @@
         self.assertNotIn('in-force', out)
         self.assertIn('unconfirmed=gone', err)
 
-    def test_every_help_tells_an_example_or_the_exit_codes(self):
+    def test_every_help_shows_an_example_or_the_exit_codes(self):
         for command in (
             [],
             ['catalogue'],
--- a/tools/guard_list_catalogue.py
+++ b/tools/guard_list_catalogue.py
@@ -43,7 +43,7 @@
     _make(
         'store that went back',
         'catalogues/revisions.py',
-        'if forked or went_back:',
+        'if forked or reverted:',
         'if False:',
         _REVISIONS,
     ),
@@ -121,8 +121,8 @@
     _make(
         'catalogue compare-and-swap',
         'catalogues/catalogue_store.py',
-        '_dump_small(head), base.key_revision',
-        '_dump_small(head)',
+        '_dump_without_text(head), base.key_revision',
+        '_dump_without_text(head)',
         _COMMANDS,
     ),
     _make(
