--- a/src/persimmonsail/catalogues/follower.py
+++ b/src/persimmonsail/catalogues/follower.py
@@ -19,11 +19,14 @@
     """Updates a view from the store."""
 
     def __init__(
-        self, store: store_module.Store, view: revisions.View, poll: float
+        self,
+        store: store_module.Store,
+        view: revisions.View,
+        poll_seconds: float,
     ) -> None:
         self._store = store
         self._view = view
-        self._poll_seconds = poll
+        self._poll_seconds = poll_seconds
         self._poll_requested = anyio.Event()
         self._poll_done = anyio.Event()
 
--- a/src/persimmonsail/platform/__init__.py
+++ b/src/persimmonsail/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translates between persimmonsail and its users' platform.
+"""The adapter between persimmonsail and its users' platform.
 
-Only the modules of this folder know the names that the platform uses on
-the wire. Each decodes them once, into the package's own types.
+Only the modules of this package use the platform's names on the wire.
+Each decodes them once, into the product's own types.
 """
--- a/src/persimmonsail/platform/advisor.py
+++ b/src/persimmonsail/platform/advisor.py
@@ -1,4 +1,4 @@
-"""The platform's advisor: which workers may run a step."""
+"""Client of the platform's advisor, which approves workers for a step."""
 
 import http
 
@@ -8,15 +8,15 @@
 from persimmonsail import httpclient
 from persimmonsail.jobs import advisor
 
-# An answer about thirty workers takes what the operators' configuration
-# says, some tenths of a second in most queues; the deadline is for an
-# advisor that does not answer at all.
+# An answer about thirty workers takes as long as the operators'
+# configuration says, some tenths of a second for most queues; the timeout
+# is for an advisor that does not answer at all.
 _TIMEOUT_SECONDS = 5.0
 _MILLISECONDS = 1000
 
 
 class _Answer(pydantic.BaseModel):
-    # Rows of a worker's boot and the ticket for it.
+    # Rows of a worker's boot id and its permit.
     approved: tuple[tuple[str, str], ...] = ()
     valid_ms: int = pydantic.Field(default=0, alias='validMs')
 
@@ -29,7 +29,7 @@
 
     async def ask(self, question: advisor.Question) -> advisor.Answer:
         """See ``Advisor.ask``."""
-        # A step's name has the form that the advisor calls a phase.
+        # The advisor calls a step a phase; the form of the name is the same.
         body = {'phase': question.step, 'workers': list(question.boots)}
         try:
             answer = await self._client.call('POST', '/v1/advise', body)
@@ -40,7 +40,7 @@
         try:
             found = _Answer.model_validate_json(answer.content)
         except pydantic.ValidationError as error:
-            raise exceptions.AdvisorUnavailable('not readable') from error
+            raise exceptions.AdvisorUnavailable('unreadable answer') from error
         return advisor.Answer(
             dict(found.approved), found.valid_ms / _MILLISECONDS
         )
--- a/src/persimmonsail/platform/configuration.py
+++ b/src/persimmonsail/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, as they write it into the store."""
+"""Decodes the operators' configuration and follows it in the store."""
 
 import anyio
 import pydantic
@@ -8,26 +8,26 @@
 from persimmonsail import logs
 from persimmonsail import store as store_module
 
-_KEY = 'op/config'
-# A change has to be in force 2 s after the store took it. A watch can
-# go silent for good, so the key is read this often besides; two reads
-# that fail still leave time for a third.
+_CONFIGURATION_KEY = 'op/config'
+# A change must be in force within 2 s of its commit. A watch can stop
+# delivering for good, so the key is also polled; at this interval two
+# failed reads leave time for a third.
 _POLL_SECONDS = 0.6
 _WATCH_SECONDS = 20.0
-_RETRY_SECONDS = 0.3
+_RETRY_DELAY_SECONDS = 0.3
 _MILLISECONDS = 1000
 
 
-class _Wire(pydantic.BaseModel):
-    # Operators' programs may be newer and send more.
+class _WireModel(pydantic.BaseModel):
+    # Newer tools of the operators may send further fields.
     model_config = pydantic.ConfigDict(extra='ignore')
 
 
-class _Advisor(_Wire):
+class _Advisor(_WireModel):
     decide_ms: int = pydantic.Field(default=0, alias='decideMs')
 
 
-class _Route(_Wire):
+class _Route(_WireModel):
     name: str
     host: str
     prefix: str
@@ -35,8 +35,8 @@
     priority: int = 0
     max_attempts: int = pydantic.Field(default=1, alias='maxAttempts')
     slack_factor: float = pydantic.Field(default=1.0, alias='slackFactor')
-    # On a route this is no duration of anything, but what a job may take
-    # beside its critical path.
+    # On a route this is not a duration, but the time that a job may take
+    # in addition to its critical path.
     target_ms: int = pydantic.Field(default=0, alias='targetDurationMs')
     advisor: _Advisor | None = None
 
@@ -54,17 +54,17 @@
         )
 
 
-class _Service(_Wire):
+class _Service(_WireModel):
     name: str
     standby: bool = False
 
 
-class _Limits(_Wire):
+class _Limits(_WireModel):
     body_bytes: int = pydantic.Field(default=262144, alias='maxBodyBytes')
     idle_ms: int = pydantic.Field(default=15000, alias='idleTimeoutMs')
 
 
-class _Config(_Wire):
+class _Config(_WireModel):
     version: int
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
@@ -72,7 +72,7 @@
 
 
 def decode(text: str) -> queues.Configuration:
-    """Read one version of the configuration.
+    """Decode one version of the configuration.
 
     Raises
     ------
@@ -94,7 +94,7 @@
 
 
 class Follower:
-    """Keeps a view of the configuration up to date."""
+    """Updates a view of the configuration from the store."""
 
     def __init__(
         self, store: store_module.TransactionalStore, view: queues.View
@@ -102,60 +102,67 @@
         self._store = store
         self._view = view
         self._revision = 0
-        # Up to where the store's history is known.
-        self._followed = 0
-        self._heard = True
+        # The store's revision up to which changes have been read.
+        self._followed_revision = 0
+        self._in_contact = True
         self.loaded = anyio.Event()
 
     async def run(self) -> None:
         """Follow changes by watch and by poll, until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._poll)
-            group.start_soon(self._watch)
+            group.start_soon(self._run_polls)
+            group.start_soon(self._run_watch)
 
-    async def _poll(self) -> None:
+    async def _run_polls(self) -> None:
         while True:
             try:
-                page = await self._store.scan(_KEY)
+                page = await self._store.scan(_CONFIGURATION_KEY)
             except exceptions.StoreUnavailable as error:
                 self._note_contact(False, error)
-                await anyio.sleep(_RETRY_SECONDS)
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
                 continue
             self._note_contact(True)
             for item in page.items:
-                if item.key == _KEY:
-                    self._take(item.value, item.revision)
-            self._followed = max(self._followed, page.revision)
+                if item.key == _CONFIGURATION_KEY:
+                    self._apply(item.value, item.revision)
+            self._followed_revision = max(
+                self._followed_revision, page.revision
+            )
             await anyio.sleep(_POLL_SECONDS)
 
-    async def _watch(self) -> None:
+    async def _run_watch(self) -> None:
         await self.loaded.wait()
         while True:
             try:
                 found = await self._store.follow(
-                    _KEY, self._followed, _WATCH_SECONDS
+                    _CONFIGURATION_KEY, self._followed_revision, _WATCH_SECONDS
                 )
             except exceptions.StoreError:
-                # The poll tells of lost contact, and goes on meanwhile.
-                await anyio.sleep(_RETRY_SECONDS)
+                # The poll logs the lost contact, and continues meanwhile.
+                await anyio.sleep(_RETRY_DELAY_SECONDS)
                 continue
-            self._followed = max(self._followed, found.revision)
+            self._followed_revision = max(
+                self._followed_revision, found.revision
+            )
             for change in found.changes:
-                if change.key == _KEY and change.value is not None:
-                    self._take(change.value, change.revision)
+                if (
+                    change.key == _CONFIGURATION_KEY
+                    and change.value is not None
+                ):
+                    self._apply(change.value, change.revision)
 
     def _note_contact(
-        self, heard: bool, error: Exception | None = None
+        self, in_contact: bool, error: Exception | None = None
     ) -> None:
-        if heard == self._heard:
+        if in_contact == self._in_contact:
             return
-        self._heard = heard
-        if heard:
+        self._in_contact = in_contact
+        if in_contact:
             logs.write_event('store-regained')
         else:
             logs.write_warning('store-lost', error=error)
 
-    def _take(self, text: str, revision: int) -> None:
+    def _apply(self, text: str, revision: int) -> None:
         if revision <= self._revision:
             return
         self._revision = revision
--- a/src/persimmonsail/platform/entry.py
+++ b/src/persimmonsail/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry role as it runs on the users' platform."""
+"""The entry role on the users' platform."""
 
 import contextlib
 import importlib
@@ -37,27 +37,27 @@
 if t.TYPE_CHECKING:
     from persimmonsail.jobs import leader as leader_module
 
-# The balancer asks each second and needs two misses to send callers
-# elsewhere; until then this entry goes on serving.
-_NOTICE_SECONDS = 2.2
+# The balancer checks readiness once a second and redirects callers after
+# two failed checks; until then this entry continues to serve.
+_REDIRECT_SECONDS = 2.2
 _DRAIN_SECONDS = 2.0
-# Calls are answered so long before the end of the drain, which ends them.
-_ANSWER_SECONDS = 0.3
-_PING_SECONDS = 0.6
+# Requests are answered this long before the drain ends, which cuts them.
+_ANSWER_MARGIN_SECONDS = 0.3
+_PING_TIMEOUT_SECONDS = 0.6
 
 
 def _import_leader() -> types.ModuleType:
-    """Import what only a leader needs, in a thread beside the loop.
+    """Import the leader's modules; runs in a worker thread.
 
-    Most entries of a large deployment never lead. With it each took 0.2 s
-    longer to start, and 20 MB more; an entry that is large enough to lead
-    has it ready some 0.2 s after its start.
+    Most entries of a large deployment never lead, and the import costs
+    each 0.2 s at its start and 20 MB. In an entry that is large enough to
+    lead it is done some 0.2 s after the start.
     """
     return importlib.import_module('persimmonsail.jobs.leader')
 
 
 class EntryRole:
-    """One entry: callers' calls, and leading if it is elected."""
+    """An entry: serves callers, and leads while it is elected."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self._settings = settings
@@ -66,7 +66,7 @@
         self._links = links_module.Links(
             links_module.describe_limits(settings.links)
         )
-        self._own: leader_module.Leader | None = None
+        self._leader: leader_module.Leader | None = None
         self._stopping = False
         self._candidate = election.Candidate(
             self._store,
@@ -85,26 +85,26 @@
             self._store,
             self._links,
             lambda: self._candidate.leader,
-            self._get_own,
+            self._get_leader,
             self._capacities,
             self._advisor is not None,
         )
 
     async def run(self, signals: t.AsyncIterator[signal.Signals]) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until a signal requests a stop."""
         settings = self._settings
         sock = addresses.bind(settings.process.control)
         control = addresses.name_of(sock)
         server = grpclib.server.Server(
             [
-                leaderservice.LeaderService(self._intake, self._get_own),
+                leaderservice.LeaderService(self._intake, self._get_leader),
                 health_service.Health(),
             ]
         )
         await server.start(sock=sock)
         self._candidate.address = control
-        calls = front.Front(self._intake, self._view)
-        app = shutdown.CloseConnections(calls, lambda: self._stopping)
+        front_app = front.Front(self._intake, self._view)
+        app = shutdown.CloseConnections(front_app, lambda: self._stopping)
         ready = pages.Readiness(self._is_ready)
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._store.close)
@@ -120,9 +120,9 @@
             group.start_soon(
                 capacities.keep_reading, self._store, self._capacities
             )
-            leading = anyio.CancelScope()
-            left = anyio.Event()
-            group.start_soon(self._run_candidate, leading, left)
+            candidacy = anyio.CancelScope()
+            candidacy_ended = anyio.Event()
+            group.start_soon(self._run_candidate, candidacy, candidacy_ended)
             await serving.serve_metrics(stack, settings)
             await self._serve_api(stack)
             async with (
@@ -142,25 +142,27 @@
                 await serving.wait_for_stop(signals, settings)
                 logs.write_event('stopping')
                 self._stopping = True
-                left_seconds = _NOTICE_SECONDS + _DRAIN_SECONDS
-                calls.close_by(
-                    anyio.current_time() + left_seconds - _ANSWER_SECONDS
+                remaining_seconds = _REDIRECT_SECONDS + _DRAIN_SECONDS
+                front_app.set_deadline(
+                    anyio.current_time()
+                    + remaining_seconds
+                    - _ANSWER_MARGIN_SECONDS
                 )
-                if self._own is not None:
-                    await self._own.save_knowledge()
-                leading.cancel()
-                with anyio.move_on_after(_NOTICE_SECONDS):
-                    await left.wait()
-                    await anyio.sleep(_NOTICE_SECONDS)
+                if self._leader is not None:
+                    await self._leader.save_knowledge()
+                candidacy.cancel()
+                with anyio.move_on_after(_REDIRECT_SECONDS):
+                    await candidacy_ended.wait()
+                    await anyio.sleep(_REDIRECT_SECONDS)
             group.cancel_scope.cancel()
         server.close()
 
     async def _serve_api(self, stack: contextlib.AsyncExitStack) -> None:
-        """Serve the product's own interface, if an address names it."""
+        """Serve the product's own interface, if its address is configured."""
         address = self._settings.jobs.api
         if address is None:
             return
-        # Only here: the platform's own front needs none of it.
+        # Imported only here: the platform's front does not need it.
         gateway = importlib.import_module('persimmonsail.jobs.gateway')
         app = gateway.JobGateway(self._intake, self._view, self._is_ready).app
         server = await stack.enter_async_context(
@@ -173,26 +175,26 @@
         )
         logs.write_event('api-listening', http=server.address)
 
-    def _get_own(self) -> 'leader_module.Leader | None':
-        return self._own
+    def _get_leader(self) -> 'leader_module.Leader | None':
+        return self._leader
 
     def _is_ready(self) -> bool:
-        # Without the store this entry accepts nothing; another may.
+        # Without the store this entry cannot accept jobs; another may.
         if self._stopping or self._store.is_lost:
             return False
         return self._view.current is not None
 
     async def _run_candidate(
-        self, scope: anyio.CancelScope, left: anyio.Event
+        self, scope: anyio.CancelScope, candidacy_ended: anyio.Event
     ) -> None:
         with scope:
             await self._candidate.run()
-        left.set()
+        candidacy_ended.set()
 
     async def _lead(self, ledger: ledger_module.Ledger) -> None:
         jobs = self._settings.jobs
         leader = await anyio.to_thread.run_sync(_import_leader)
-        self._own = leader.Leader(
+        self._leader = leader.Leader(
             self._store,
             ledger,
             self._view,
@@ -201,9 +203,9 @@
             self._advisor,
         )
         try:
-            await self._own.run()
+            await self._leader.run()
         finally:
-            self._own = None
+            self._leader = None
 
     async def _is_alive(self, address: str) -> bool:
         try:
@@ -212,11 +214,11 @@
                 fleet_grpc.LeaderStub,
                 'FindJob',
                 fleet_pb2.JobQuery(),
-                _PING_SECONDS,
+                _PING_TIMEOUT_SECONDS,
             )
         except exceptions.PeerAbsent:
             return False
         except exceptions.LinkLost as error:
-            # Slow, frozen or cut off: its lease in the store decides.
+            # Slow, frozen or partitioned: its lease in the store decides.
             logs.write_event('leader-unheard', error=error)
         return True
--- a/src/persimmonsail/platform/front.py
+++ b/src/persimmonsail/platform/front.py
@@ -1,4 +1,4 @@
-"""Callers' calls about jobs, and whether this entry takes any."""
+"""Serves callers' requests about jobs on the platform's wire."""
 
 import math
 import re
@@ -17,9 +17,9 @@
 from persimmonsail.platform import http
 from persimmonsail.platform import submissions
 
-_ID = re.compile(r'[0-9a-f]{16}')
+_JOB_ID = re.compile(r'[0-9a-f]{16}')
 _MILLISECONDS = 1000
-# What callers wait who do not say so.
+# For callers that send no deadline.
 _DEFAULT_WAIT_MS = 3000
 
 _STATES = {
@@ -42,11 +42,11 @@
         self._closes_at = math.inf
         self._calls: set[anyio.CancelScope] = set()
 
-    def close_by(self, moment: float) -> None:
-        """Have each call answered by a time of the event loop's clock."""
-        self._closes_at = moment
+    def set_deadline(self, closes_at: float) -> None:
+        """Answer each request by a time of the event loop's clock."""
+        self._closes_at = closes_at
         for call in self._calls:
-            call.deadline = moment
+            call.deadline = closes_at
 
     async def serve(
         self, scope: t.Any, receive: http.Receive, send: http.Send
@@ -87,17 +87,17 @@
         if queue is None:
             await request.refuse(404, 'no such queue')
             return
-        rest = request.path.removeprefix(queue.prefix)
-        if not rest and request.method == 'GET':
+        suffix = request.path.removeprefix(queue.prefix)
+        if not suffix and request.method == 'GET':
             await self._count(request, queue)
-        elif not _ID.fullmatch(rest):
+        elif not _JOB_ID.fullmatch(suffix):
             await request.refuse(404, 'an id is 16 hexadecimal digits')
         elif request.method == 'POST':
-            await self._submit(request, queue, rest, body)
+            await self._submit(request, queue, suffix, body)
         elif request.method == 'GET':
-            await self._find(request, queue, rest)
+            await self._find(request, queue, suffix)
         elif request.method == 'DELETE':
-            await self._cancel(request, queue, rest)
+            await self._cancel(request, queue, suffix)
         else:
             await request.refuse(405, 'allowed: POST, GET, DELETE')
 
@@ -166,7 +166,7 @@
 
 
 class _Request:
-    """One call, with its channel."""
+    """A request with its ASGI channels."""
 
     def __init__(
         self, scope: t.Any, receive: http.Receive, send: http.Send
@@ -178,18 +178,18 @@
         host = http.get_header(scope, b'host')
         self.host = host.rpartition(':')[0] if ':' in host else host
         self._send = send
-        self._begun = time.monotonic()
+        self._started_at = time.monotonic()
         wait_ms = http.get_header(scope, b'deadline-ms')
         wait = int(wait_ms) if wait_ms.isdecimal() else _DEFAULT_WAIT_MS
         share = intake_module.STORE_SHARE
         self.until = clock.read() + wait * share / _MILLISECONDS
 
     async def drain(self, limit: int) -> None:
-        """Read the body and drop it."""
+        """Read and discard the body."""
         try:
             await bodies.read_body(self.receive, limit)
         except (exceptions.BodyTooLarge, exceptions.CallerGone):
-            # Whoever is left to read it gets the answer all the same.
+            # The answer is sent all the same, in case it is still read.
             return
 
     async def answer(self, body: t.Mapping[str, t.Any]) -> None:
@@ -198,7 +198,7 @@
         await http.send_json(self._send, 200, body)
 
     async def refuse(self, status: int, text: str) -> None:
-        """Answer with an error, and when to come back if that helps."""
+        """Answer with an error; a 503 also says when to retry."""
         self.answered = True
         retry_after = intake_module.RETRY_SECONDS if status == 503 else None
         await http.send_error(self._send, status, text, retry_after)
@@ -209,8 +209,10 @@
         queue: queues.Queue,
         id: str,
         outcome: str,
-        **more: object,
+        **fields: object,
     ) -> None:
-        """Write what became of the call."""
-        seconds = time.monotonic() - self._begun
-        intake_module.note_call(call, id, queue.name, outcome, seconds, **more)
+        """Log the request's outcome."""
+        seconds = time.monotonic() - self._started_at
+        intake_module.note_call(
+            call, id, queue.name, outcome, seconds, **fields
+        )
--- a/src/persimmonsail/platform/heartbeats.py
+++ b/src/persimmonsail/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""What the worker's agent on this instance reports about itself."""
+"""Receives the heartbeats of the worker's agent on this instance."""
 
 import typing as t
 import urllib.parse
@@ -13,15 +13,16 @@
 from persimmonsail import logs
 from persimmonsail.platform import http
 
-_PATH = '/v1/runners/'
+_PATH_PREFIX = '/v1/runners/'
 _MAX_BYTES = 1024 * 1024
 _MILLISECONDS = 1000
 
 
-# Reports may come from other writers; a figure that no instance has would
-# not fit into what the sidecar reports to the leader, and end its link.
-_MOST = 2**31 - 1
-_Amount = t.Annotated[int, pydantic.Field(ge=0, le=_MOST)]
+# Reports may come from other programs. A larger number, which no instance
+# has, would not fit into the sidecar's message to the leader, and the error
+# would end their link.
+_MAX_AMOUNT = 2**31 - 1
+_Amount = t.Annotated[int, pydantic.Field(ge=0, le=_MAX_AMOUNT)]
 
 
 class _Capacity(pydantic.BaseModel):
@@ -32,14 +33,14 @@
 
 
 class _Report(pydantic.BaseModel):
-    # New fields may come.
+    # Newer agents may send further fields.
     model_config = pydantic.ConfigDict(extra='ignore')
 
     service: str
-    # Rises with each report of one boot; the clock may stand still.
+    # Increases with each report of a boot; the clock may not.
     sequence: _Amount = pydantic.Field(default=0, alias='seq')
     state: t.Literal['ready', 'draining'] = 'ready'
-    # Only while it leaves: the least time that is left.
+    # Only while draining: the minimum time that remains.
     remaining_ms: _Amount = pydantic.Field(default=0, alias='remainingMs')
     capacity: _Capacity = _Capacity()
     clock_ms: int = pydantic.Field(default=0, alias='clockMs')
@@ -65,7 +66,7 @@
 
 
 class Heartbeats(http.Application):
-    """The ASGI application that takes these reports."""
+    """The ASGI application that receives the agent's reports."""
 
     def __init__(self, agent: agent_module.Agent) -> None:
         self._agent = agent
@@ -82,10 +83,10 @@
         except exceptions.CallerGone:
             return
         path = scope['path']
-        if not path.startswith(_PATH):
+        if not path.startswith(_PATH_PREFIX):
             await http.send_error(send, 404, 'no such call')
             return
-        boot = urllib.parse.unquote(path.removeprefix(_PATH))
+        boot = urllib.parse.unquote(path.removeprefix(_PATH_PREFIX))
         if scope['method'] == 'DELETE':
             self._agent.note_boot_over(boot, asked=True)
         elif scope['method'] == 'PUT':
--- a/src/persimmonsail/platform/http.py
+++ b/src/persimmonsail/platform/http.py
@@ -1,10 +1,10 @@
-"""Small helpers for serving the platform's plain HTTP calls."""
+"""Helpers for serving the platform's HTTP requests."""
 
 import abc
 import json
 import typing as t
 
-_LONGEST_ERROR = 400
+_MAX_ERROR_LENGTH = 400
 
 Receive = t.Callable[[], t.Awaitable[t.Any]]
 Send = t.Callable[[t.Any], t.Awaitable[None]]
@@ -38,12 +38,12 @@
     send: Send, status: int, text: str, retry_after: int | None = None
 ) -> None:
     """Answer with an error's text."""
-    text = text[:_LONGEST_ERROR]
+    text = text[:_MAX_ERROR_LENGTH]
     await send_json(send, status, {'error': text}, retry_after)
 
 
 def get_header(scope: t.Mapping[str, t.Any], name: bytes) -> str:
-    """Return a request's header, or nothing."""
+    """Return a request's header, or an empty text."""
     for key, value in scope['headers']:
         if key == name:
             return value.decode('latin-1')
--- a/src/persimmonsail/platform/kvstore.py
+++ b/src/persimmonsail/platform/kvstore.py
@@ -15,27 +15,27 @@
 from persimmonsail import metrics
 from persimmonsail import store
 
-# A waiting watch is answered late by the network and a slow store; the
-# slowest store that is served takes 0.3 s an answer.
+# Added to a watch's wait for the latency of network and store; the slowest
+# supported store takes 0.3 s per answer.
 _WATCH_MARGIN_SECONDS = 1.0
-# The store refuses a watch that waits longer.
-_LONGEST_WATCH_SECONDS = 30.0
+# The store refuses longer watches.
+_MAX_WATCH_SECONDS = 30.0
 _MILLISECONDS = 1000
-# The store counts as lost when calls fail and the last answer is so old.
-# Each entry calls it twice a second at least, and single answers may be
-# lost while others come.
-_LOST_SECONDS = 0.9
-_REFUSED = (
+# The store counts as lost when calls fail and the last answer is older
+# than this. Each entry calls it at least twice a second, and single answers
+# may be lost while others arrive.
+_LOST_AFTER_SECONDS = 0.9
+_REFUSAL_STATUSES = (
     http.HTTPStatus.SERVICE_UNAVAILABLE,
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.FORBIDDEN,
 )
-_M = t.TypeVar('_M', bound=pydantic.BaseModel)
+_ModelT = t.TypeVar('_ModelT', bound=pydantic.BaseModel)
 
 
 class _Item(pydantic.BaseModel):
     key: str
-    # Absent in a conflict's answer for a key that does not exist.
+    # Absent in a conflict's answer if the key does not exist.
     value: str = ''
     revision: int = 0
 
@@ -59,21 +59,21 @@
     revision: int = pydantic.Field(alias='atRev')
 
 
-class _Written(pydantic.BaseModel):
+class _CommitReply(pydantic.BaseModel):
     revision: int
 
 
-class _Conflicting(pydantic.BaseModel):
+class _ConflictReply(pydantic.BaseModel):
     items: tuple[_Item, ...] = ()
 
 
-class _Granted(pydantic.BaseModel):
+class _LeaseReply(pydantic.BaseModel):
     lease: int
 
 
 @store.register('platform')
 class PlatformStore(store.TransactionalStore):
-    """Use with ``kind = platform`` in the settings' ``[store]`` section."""
+    """Selected by ``kind = platform`` in the ``[store]`` settings."""
 
     def __init__(self, address: str, timeout: float) -> None:
         self._timeout = timeout
@@ -84,7 +84,7 @@
     @property
     def is_lost(self) -> bool:
         """See ``TransactionalStore.is_lost``."""
-        return self._failing and self.silent_seconds > _LOST_SECONDS
+        return self._failing and self.silent_seconds > _LOST_AFTER_SECONDS
 
     @property
     def silent_seconds(self) -> float:
@@ -96,18 +96,18 @@
         answer = await self._call('GET', 'kv-key', query={'key': key})
         if answer.status == http.HTTPStatus.NOT_FOUND:
             return None
-        return _to_item(_read(_Item, answer))
+        return _to_item(_parse(_Item, answer))
 
     async def scan(self, prefix: str) -> store.Page:
-        """See ``Store.scan``; changes while it runs may be missing."""
+        """See ``Store.scan``; changes during the scan may be missing."""
         items: list[store.Item] = []
         revision = 0
         query = {'prefix': prefix}
         while True:
             answer = await self._call('GET', 'kv-range', query=query)
-            page = _read(_Page, answer)
-            # Pages are no snapshot: what changes after the first one is
-            # only certain to be seen by a watch from its revision on.
+            page = _parse(_Page, answer)
+            # Pages are not a snapshot: changes after the first one are
+            # only certain to be observed by a watch from its revision on.
             revision = revision or page.revision
             items.extend(_to_item(item) for item in page.items)
             if not page.more or not page.items:
@@ -155,19 +155,19 @@
         }
         answer = await self._call('POST', 'kv-txn', body=body)
         if answer.status == http.HTTPStatus.PRECONDITION_FAILED:
-            found = _read(_Conflicting, answer).items
+            found = _parse(_ConflictReply, answer).items
             raise exceptions.TransactionConflict(
                 {item.key: _to_item(item) for item in found if item.revision}
             )
         if answer.status == http.HTTPStatus.NOT_FOUND:
             raise exceptions.LeaseExpired('a lease of the transaction')
-        return _read(_Written, answer).revision
+        return _parse(_CommitReply, answer).revision
 
     async def grant_lease(self, seconds: float) -> str:
         """See ``Store.grant_lease``."""
         body = {'ttlMs': round(seconds * _MILLISECONDS)}
         answer = await self._call('POST', 'kv-lease', body=body)
-        return str(_read(_Granted, answer).lease)
+        return str(_parse(_LeaseReply, answer).lease)
 
     async def renew_lease(self, lease: str) -> None:
         """See ``Store.renew_lease``."""
@@ -183,7 +183,7 @@
         self, prefix: str, after: int, wait: float
     ) -> store.Changes:
         """See ``TransactionalStore.follow``."""
-        seconds = min(wait, _LONGEST_WATCH_SECONDS)
+        seconds = min(wait, _MAX_WATCH_SECONDS)
         query = {
             'prefix': prefix,
             'after': after,
@@ -195,7 +195,7 @@
         )
         if answer.status == http.HTTPStatus.GONE:
             raise exceptions.HistoryLost(prefix)
-        events = _read(_Events, answer)
+        events = _parse(_Events, answer)
         return store.Changes(
             events.revision,
             tuple(_to_change(event) for event in events.events),
@@ -230,7 +230,7 @@
         target = f'/v1/{name}/{detail}' if detail else f'/v1/{name}'
         if query:
             target = f'{target}?{urllib.parse.urlencode(query)}'
-        begun = time.monotonic()
+        started_at = time.monotonic()
         try:
             answer = await self._client.call(
                 method, target, body, timeout=timeout
@@ -244,10 +244,10 @@
             metrics.STORE_CALLS.increase(name, 'no-answer')
             raise exceptions.StoreUnavailable(f'{name}: {error}') from error
         metrics.STORE_CALLS.increase(name, str(answer.status))
-        # A watch waits on purpose; its time says nothing of the store.
+        # A watch waits by design; its duration is not the store's latency.
         if name != 'kv-watch':
-            metrics.STORE_SECONDS.record(time.monotonic() - begun, name)
-        if answer.status in _REFUSED:
+            metrics.STORE_SECONDS.record(time.monotonic() - started_at, name)
+        if answer.status in _REFUSAL_STATUSES:
             self._failing = True
             raise exceptions.CallRefused(f'{name}: {answer.status}')
         if answer.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -269,11 +269,11 @@
 
 
 def _decode_value(text: str, key: str) -> str:
-    """Return a value's text; nothing, where another writer left bytes.
+    """Return a value's text; empty for bytes that are not a valid text.
 
-    One such value would otherwise make every scan of its prefix fail: no
-    leader could load its jobs, and nothing would ever start. An empty text
-    is no valid value of any key, so whoever reads it passes over it.
+    Other writers may store such bytes. One such value would otherwise fail
+    every scan of its prefix: no leader could load its jobs, and no task
+    would start. No key has a valid empty value, so readers skip it.
     """
     try:
         return base64.b64decode(text, validate=True).decode('utf-8')
@@ -301,9 +301,9 @@
     return exceptions.Conflict(key, item.revision if item else 0)
 
 
-def _read(model: type[_M], answer: httpclient.Answer) -> _M:
-    # Something between the two ends may answer in the store's place,
-    # with a page of its own; a write may have taken effect all the same.
+def _parse(model: type[_ModelT], answer: httpclient.Answer) -> _ModelT:
+    # An intermediary may answer in the store's place, with a page of its
+    # own; a write may have taken effect nevertheless.
     try:
         return model.model_validate_json(answer.content)
     except pydantic.ValidationError as error:
--- a/src/persimmonsail/platform/pages.py
+++ b/src/persimmonsail/platform/pages.py
@@ -1,4 +1,4 @@
-"""Pages of a process about itself: whether it is ready, and its metrics."""
+"""Readiness and metrics pages of a process."""
 
 import typing as t
 
@@ -7,7 +7,7 @@
 
 
 class Readiness(http.Application):
-    """Tells the platform's balancer whether this entry takes calls."""
+    """Reports to the platform's balancer whether this entry is ready."""
 
     def __init__(self, is_ready: t.Callable[[], bool]) -> None:
         self._is_ready = is_ready
--- a/src/persimmonsail/platform/runner.py
+++ b/src/persimmonsail/platform/runner.py
@@ -1,4 +1,4 @@
-"""Calls to the worker's agent on this instance."""
+"""Client of the worker's agent on this instance."""
 
 import http
 import typing as t
@@ -10,63 +10,63 @@
 from persimmonsail.jobs import worker
 
 # An order is answered within milliseconds; one that takes longer was
-# lost, and is found again by its repetition.
-_ORDER_SECONDS = 0.6
+# lost, and a repetition recovers its outcome.
+_ORDER_TIMEOUT_SECONDS = 0.6
 _MILLISECONDS = 1000
-# The agent refuses to wait longer.
-_LONGEST_WAIT_SECONDS = 2.0
+# The agent refuses longer waits.
+_MAX_WAIT_SECONDS = 2.0
 _BOOT_HEADER = 'Expected-Instance'
-_UNHEALTHY = (
+_UNHEALTHY_STATUSES = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
 )
-_M = t.TypeVar('_M', bound=pydantic.BaseModel)
+_ModelT = t.TypeVar('_ModelT', bound=pydantic.BaseModel)
 
 
-class _Clocked(pydantic.BaseModel):
-    # The agent's own steady clock.
+class _ClockReply(pydantic.BaseModel):
+    # The agent's own monotonic clock.
     clock_ms: int = pydantic.Field(alias='clockMs')
 
 
-class _Refused(pydantic.BaseModel):
+class _RefusalReply(pydantic.BaseModel):
     reason: str = 'unknown'
 
 
-class _Held(_Clocked):
+class _HoldReply(_ClockReply):
     # Rows of task, run, checkpoint, percent and a gauge whose meaning
-    # depends on the task; older agents leave the gauge out.
+    # depends on the task; older agents omit the gauge.
     running: tuple[tuple[t.Any, ...], ...] = ()
-    # Rows of number, task, run, how it ended, and checkpoint.
+    # Rows of number, task, run, kind of end, and checkpoint.
     finished: tuple[tuple[int, str, int, str, str], ...] = ()
 
-    def to_look(self) -> worker.Look:
+    def to_snapshot(self) -> worker.Look:
         return worker.Look(
             self.clock_ms,
-            tuple(_read_running(row) for row in self.running),
+            tuple(_parse_running(row) for row in self.running),
             tuple(worker.EndedRow(*row) for row in self.finished),
         )
 
 
-def _read_running(row: tuple[t.Any, ...]) -> worker.RunningRow:
-    """Read a row.
+def _parse_running(row: tuple[t.Any, ...]) -> worker.RunningRow:
+    """Parse a row of ``running``.
 
     Raises
     ------
     ValueError, TypeError
-        If its entries are not what they should be.
+        If an entry is missing or of a wrong type.
     """
-    task, run, checkpoint, percent, *more = row
-    gauge = more[0] if more else 0
+    task, run, checkpoint, percent, *optional = row
+    gauge = optional[0] if optional else 0
     return worker.RunningRow(
         str(task), int(run), checkpoint or '', float(percent), float(gauge)
     )
 
 
 class Runner(worker.Worker):
-    """The worker's agent over HTTP."""
+    """Calls the worker's agent over HTTP."""
 
     def __init__(self, address: str) -> None:
-        self._client = httpclient.Client(address, _ORDER_SECONDS)
+        self._client = httpclient.Client(address, _ORDER_TIMEOUT_SECONDS)
 
     async def start(
         self, boot: str, epoch: int, order: worker.StartOrder
@@ -84,7 +84,7 @@
         if order.ticket:
             body['ticket'] = order.ticket
         answer = await self._call('run-start', boot, body)
-        return _read(_Clocked, answer).clock_ms
+        return _parse(_ClockReply, answer).clock_ms
 
     async def stop(self, boot: str, epoch: int, task: str, run: int) -> None:
         """See ``Worker.stop``."""
@@ -115,16 +115,18 @@
         body = {'fencingToken': epoch, 'acked': acknowledged}
         if until_ms is not None:
             body['untilMs'] = until_ms
-        wait = min(wait_seconds, _LONGEST_WAIT_SECONDS)
+        wait = min(wait_seconds, _MAX_WAIT_SECONDS)
         if wait:
             body['waitMs'] = round(wait * _MILLISECONDS)
-        answer = await self._call('hold', boot, body, _ORDER_SECONDS + wait)
+        answer = await self._call(
+            'hold', boot, body, _ORDER_TIMEOUT_SECONDS + wait
+        )
         try:
-            return _read(_Held, answer).to_look()
+            return _parse(_HoldReply, answer).to_snapshot()
         except (ValueError, TypeError) as error:
-            # A look with a row left out would tell that its run is gone.
+            # A snapshot without the row would report its run as gone.
             raise exceptions.WorkerUnavailable(
-                f'a row of the look is unreadable: {error}'
+                f'hold: unreadable row: {error}'
             ) from error
 
     async def close(self) -> None:
@@ -136,7 +138,7 @@
         name: str,
         boot: str,
         body: dict[str, t.Any],
-        timeout: float = _ORDER_SECONDS,
+        timeout: float = _ORDER_TIMEOUT_SECONDS,
     ) -> httpclient.Answer:
         try:
             answer = await self._client.call(
@@ -152,15 +154,15 @@
         if status == http.HTTPStatus.MISDIRECTED_REQUEST:
             raise exceptions.WorkerBootChanged(boot)
         if status == http.HTTPStatus.CONFLICT:
-            raise exceptions.OrderRefused(_read(_Refused, answer).reason)
-        if status in _UNHEALTHY:
+            raise exceptions.OrderRefused(_parse(_RefusalReply, answer).reason)
+        if status in _UNHEALTHY_STATUSES:
             raise exceptions.OrderRefused('unhealthy')
         if status == http.HTTPStatus.BAD_REQUEST:
             raise exceptions.OrderRefused('malformed')
         raise exceptions.WorkerUnavailable(f'{name}: status {status}')
 
 
-def _read(model: type[_M], answer: httpclient.Answer) -> _M:
+def _parse(model: type[_ModelT], answer: httpclient.Answer) -> _ModelT:
     try:
         return model.model_validate_json(answer.content)
     except pydantic.ValidationError as error:
--- a/src/persimmonsail/platform/serving.py
+++ b/src/persimmonsail/platform/serving.py
@@ -1,4 +1,4 @@
-"""What both roles on the users' platform do alike."""
+"""Functions shared by both roles on the users' platform."""
 
 import contextlib
 import pathlib
@@ -12,7 +12,7 @@
 from persimmonsail import settings as settings_module
 from persimmonsail import store as store_module
 
-# Idle connections outlive the balancer's, so that no caller sends into a
+# Longer than the balancer keeps its own, so that no request is sent into a
 # connection that is just being closed.
 IDLE_SECONDS = 75.0
 _METRICS_DRAIN_SECONDS = 0.1
@@ -21,7 +21,7 @@
 async def serve_metrics(
     stack: contextlib.AsyncExitStack, settings: settings_module.Settings
 ) -> None:
-    """Serve counters and histograms, if an address names it."""
+    """Serve counters and histograms, if an address is configured."""
     address = settings.jobs.metrics
     if address is None:
         return
@@ -34,13 +34,14 @@
 def open_store(
     settings: settings_module.Settings,
 ) -> store_module.TransactionalStore:
-    """Return the store that the settings name; it has to do transactions."""
+    """Return the configured store; it must support transactions."""
     opened = store_module.open_kind(
         settings.store.kind, settings.store.address, settings.store.timeout
     )
     if not isinstance(opened, store_module.TransactionalStore):
         raise exceptions.SettingsMismatch(
-            f'a store of kind {settings.store.kind!r} has no transactions'
+            f'a store of kind {settings.store.kind!r} does not support '
+            'transactions'
         )
     return opened
 
@@ -49,15 +50,15 @@
     signals: t.AsyncIterator[signal.Signals],
     settings: settings_module.Settings,
 ) -> None:
-    """Return at the first signal that asks for the end of the process."""
-    async for number in signals:
-        if number != signal.SIGHUP:
+    """Return at the first signal that requests a stop."""
+    async for received in signals:
+        if received != signal.SIGHUP:
             return
         _reload(settings)
 
 
 def _reload(settings: settings_module.Settings) -> None:
-    """Check changed settings; addresses and leases apply at a start."""
+    """Validate changed settings; a restart applies addresses and leases."""
     path = settings.source
     try:
         role = 'sidecar' if settings.jobs.worker else 'entry'
--- a/src/persimmonsail/platform/sidecar.py
+++ b/src/persimmonsail/platform/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar role as it runs on the users' platform."""
+"""The sidecar role on the users' platform."""
 
 import contextlib
 import signal
@@ -20,13 +20,13 @@
 from persimmonsail.platform import serving
 from persimmonsail import settings as settings_module
 
-# A sidecar that no leader has called for so long registers again.
+# A sidecar that no leader has called for this long registers again.
 _UNATTACHED_SECONDS = 3.0
-_REGISTER_SECONDS = 1.0
+_REGISTER_INTERVAL_SECONDS = 1.0
 
 
 class SidecarRole:
-    """One sidecar: the agent of the instance's worker."""
+    """A sidecar: connects the instance's worker to the leader."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self._settings = settings
@@ -35,7 +35,7 @@
         self._agent = agent_module.Agent(self._runner, settings.jobs.lease)
 
     async def run(self, signals: t.AsyncIterator[signal.Signals]) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until a signal requests a stop."""
         settings = self._settings
         sock = addresses.bind(settings.process.control)
         control = addresses.name_of(sock)
@@ -48,7 +48,7 @@
             await serving.serve_metrics(stack, settings)
             group.start_soon(looplag.watch)
             group.start_soon(self._agent.run)
-            group.start_soon(self._register, control)
+            group.start_soon(self._run_registration, control)
             async with httpserver.HttpServer(
                 heartbeats.Heartbeats(self._agent),
                 settings.jobs.heartbeats,
@@ -63,10 +63,10 @@
             group.cancel_scope.cancel()
         server.close()
 
-    async def _register(self, control: str) -> None:
-        """Keep this sidecar's address in the store while nobody calls.
+    async def _run_registration(self, control: str) -> None:
+        """Register this sidecar's address while no leader calls it.
 
-        There is no other list that a leader could find it in.
+        The store has the only list in which a leader can find it.
         """
         process = self._settings.process
         key = record.INSTANCES + control
@@ -75,8 +75,8 @@
         ).model_dump_json()
         registered = False
         while True:
-            silent = clock.read() - self._agent.attached_at
-            if not registered or silent > _UNATTACHED_SECONDS:
+            silent_seconds = clock.read() - self._agent.attached_at
+            if not registered or silent_seconds > _UNATTACHED_SECONDS:
                 try:
                     item = await self._store.get(key)
                     if item is None or item.value != text:
@@ -85,4 +85,4 @@
                     registered = True
                 except exceptions.StoreError as error:
                     logs.write_event('register-failed', error=error)
-            await anyio.sleep(_REGISTER_SECONDS)
+            await anyio.sleep(_REGISTER_INTERVAL_SECONDS)
--- a/src/persimmonsail/platform/submissions.py
+++ b/src/persimmonsail/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Callers' jobs as they come over the wire."""
+"""Decodes callers' jobs from the wire."""
 
 import pydantic
 
@@ -6,13 +6,13 @@
 from persimmonsail.jobs import specification
 
 
-class _Wire(pydantic.BaseModel):
-    # A field that isn't known may change what a job means; to run the
-    # job without it would be worse than a clear answer.
+class _WireModel(pydantic.BaseModel):
+    # An unknown field may change a job's meaning; refusing the job is
+    # better than running it without the field.
     model_config = pydantic.ConfigDict(extra='forbid')
 
 
-class _Phase(_Wire):
+class _Phase(_WireModel):
     # On the wire a job's steps are its phases.
     count: int = 0
     # Thousandths of a core.
@@ -24,15 +24,15 @@
     checkpoints: bool = pydantic.Field(default=False, alias='checkpointing')
     gang: bool = False
     same_rack: bool = pydantic.Field(default=False, alias='sameRack')
-    # A label of the instance; selects nothing else.
+    # The required label of the instance; selects nothing else.
     label: str = pydantic.Field(default='', alias='selector')
-    # The rack of the data, no wish to be near other tasks.
+    # The rack of the data, not affinity to other tasks.
     data_rack: str = pydantic.Field(default='', alias='affinity')
     most_per_instance: int = pydantic.Field(default=0, alias='maxPerServer')
     speculative: bool = False
     long_running: bool = pydantic.Field(default=False, alias='longRunning')
     image: str = ''
-    # Of the tail latency, no target for the job's own time.
+    # For the tail latency, not for the job's own duration.
     latency_target_ms: int = pydantic.Field(default=0, alias='targetMs')
     # A flag despite its name: the step's processors are not committed.
     best_effort_cpu: bool = pydantic.Field(default=False, alias='fillCount')
@@ -63,8 +63,8 @@
         )
 
 
-class _Submission(_Wire):
-    # Opaque to the system: handed to every task as it is.
+class _Submission(_WireModel):
+    # Opaque to the system: passed unchanged to every task.
     payload: str = pydantic.Field(default='', alias='spec')
     phases: tuple[_Phase, ...] = ()
     occurrences: int = pydantic.Field(default=0, alias='repeatCount')
@@ -73,12 +73,12 @@
 
 
 def decode(body: bytes) -> specification.Specification:
-    """Read and check a submission.
+    """Decode and check a submission.
 
     Raises
     ------
     persimmonsail.exceptions.JobInvalid
-        With every field that is wrong, and its place.
+        With every wrong field and its path.
     """
     try:
         found = _Submission.model_validate_json(body)
--- a/tests/platform/test_cancelled_jobs.py
+++ b/tests/platform/test_cancelled_jobs.py
@@ -9,17 +9,17 @@
 from tests import base
 
 IDS = tuple(f'{number:016x}' for number in range(1, 7))
-# No task of a job begins later than this after its cancel was acknowledged.
+# No task of a job starts later than this after its cancel is acknowledged.
 CANCEL_SECONDS = 3.0
-# How long starts are watched for after a fault is over.
+# How long starts are observed after a fault has ended.
 SETTLE_SECONDS = 2.5
 INSTANCES = ('side-1', 'side-2')
-LASTING = deployed.make_body(1, payload='lasts', longRunning=True)
+LONG_RUNNING = deployed.make_body(1, payload='lasts', longRunning=True)
 
 
 @pytest.mark.processes
 class CancelledJobsTest(base.TestCase):
-    """Cancels through the entry that does not lead, while things fail."""
+    """Cancels through the entry that does not lead, during faults."""
 
     async def start(self, running):
         """Start two entries and two instances; the first entry leads."""
@@ -34,13 +34,13 @@
             await running.start_instance(name)
             await self.leader.wait_event('instance-boot')
 
-    async def set_runners(self, **faults):
+    async def set_runner_faults(self, **faults):
         for runner in self.running.runners.values():
             await self.running.set_faults(runner, **faults)
 
     async def submit_all(self):
         for id in IDS:
-            await self.running.submit('entry-2', id, LASTING)
+            await self.running.submit('entry-2', id, LONG_RUNNING)
         for id in IDS:
             await self.leader.wait_event('job-seen', job=id)
 
@@ -54,7 +54,7 @@
         return acknowledged
 
     async def assert_none_late(self, acknowledged):
-        """Check that nothing began later than allowed, or goes on."""
+        """Check that no task started too late or still runs."""
         await anyio.sleep(SETTLE_SECONDS)
         starts = await self.running.list_starts()
         late = []
@@ -72,11 +72,11 @@
         """Claims written before a cancel are acted on seconds after it."""
         async with self.deploy() as running:
             await self.start(running)
-            await self.set_runners(millicores=0)
+            await self.set_runner_faults(millicores=0)
             await anyio.sleep(0.5)
             await self.submit_all()
             await running.set_faults(self.store_link, mode='one-way')
-            await self.set_runners()
+            await self.set_runner_faults()
             await anyio.sleep(1.2)
             acknowledged = await self.cancel_all()
             await anyio.sleep(3.8)
@@ -84,22 +84,22 @@
             await self.assert_none_late(acknowledged)
 
     async def test_a_leader_whose_watch_hangs(self):
-        """Room comes free while the leader can't hear of the cancels."""
+        """Capacity becomes free while the leader misses the cancels."""
         async with self.deploy() as running:
             await self.start(running)
-            await self.set_runners(millicores=0)
+            await self.set_runner_faults(millicores=0)
             await anyio.sleep(0.5)
             await self.submit_all()
             await running.set_faults(running.store, hang_watch=record.INBOX)
             acknowledged = await self.cancel_all()
             await anyio.sleep(4.0)
-            await self.set_runners()
+            await self.set_runner_faults()
             await anyio.sleep(2.0)
             await running.set_faults(running.store)
             await self.assert_none_late(acknowledged)
 
-    async def test_what_runs_is_stopped_while_the_watch_hangs(self):
-        """Tasks of a cancelled job run on while the watch is hung."""
+    async def test_running_tasks_are_stopped_while_the_watch_hangs(self):
+        """Tasks of a cancelled job keep running while the watch hangs."""
         async with self.deploy() as running:
             await self.start(running)
             await self.submit_all()
@@ -112,34 +112,34 @@
             await running.set_faults(running.store)
             await self.assert_none_late(acknowledged)
 
-    async def test_agents_that_answer_nothing(self):
-        """A start is repeated beside the stop of the same run."""
+    async def test_agents_that_do_not_answer(self):
+        """A start is repeated concurrently with the stop of its run."""
         async with self.deploy() as running:
             await self.start(running)
-            await self.set_runners(silent=True)
+            await self.set_runner_faults(silent=True)
             await self.submit_all()
             await anyio.sleep(0.5)
             acknowledged = await self.cancel_all()
             await anyio.sleep(4.5)
-            await self.set_runners()
+            await self.set_runner_faults()
             await self.assert_none_late(acknowledged)
 
-    async def test_agents_that_start_late_what_they_left_unanswered(self):
-        """Agents carry starts out seconds after they came."""
+    async def test_agents_that_execute_unanswered_starts_late(self):
+        """Agents execute starts seconds after receiving them."""
         async with self.deploy() as running:
             await self.start(running)
-            await self.set_runners(late_starts=100, late_seconds=4.0)
+            await self.set_runner_faults(late_starts=100, late_seconds=4.0)
             await self.submit_all()
             acknowledged = await self.cancel_all()
             await anyio.sleep(4.0)
-            await self.set_runners()
+            await self.set_runner_faults()
             await self.assert_none_late(acknowledged)
 
     async def test_a_submission_that_is_stored_after_its_cancel(self):
-        """A job begins that its caller has cancelled, and nobody stops it.
+        """A job that its caller has cancelled starts and is never stopped.
 
-        The store carries its write out after it had answered that it has no
-        such job.
+        The store executes the submission's write after it has answered that
+        it has no such job.
         """
         async with self.deploy() as running:
             await self.start(running)
@@ -147,7 +147,9 @@
                 running.store, lose_writes=100, delay_writes=5.0
             )
             acknowledged = {}
-            answer = await running.call('entry-2', 'POST', IDS[0], LASTING)
+            answer = await running.call(
+                'entry-2', 'POST', IDS[0], LONG_RUNNING
+            )
             self.assertEqual(504, answer.status_code)
             await running.set_faults(running.store)
             answer = await running.call('entry-2', 'DELETE', IDS[0])
@@ -156,8 +158,8 @@
             await anyio.sleep(5.0)
             await self.assert_none_late(acknowledged)
 
-    async def test_frozen_sidecars_with_starts_on_their_way(self):
-        """A sidecar wakes and carries out orders that are seconds old."""
+    async def test_frozen_sidecars_with_starts_in_flight(self):
+        """A sidecar resumes and executes orders that are seconds old."""
         async with self.deploy() as running:
             await self.start(running)
             for name in INSTANCES:
@@ -172,15 +174,15 @@
                 sidecar.send_signal(signal.SIGCONT)
             await self.assert_none_late(acknowledged)
 
-    async def test_a_leader_that_was_frozen_over_its_claims(self):
-        """A deposed leader wakes with claims whose starts aren't sent."""
+    async def test_a_leader_frozen_between_claims_and_starts(self):
+        """A deposed leader resumes with claims whose starts are not sent."""
         async with self.deploy() as running:
             await self.start(running)
-            await self.set_runners(millicores=0)
+            await self.set_runner_faults(millicores=0)
             await anyio.sleep(0.5)
             await self.submit_all()
             await running.set_faults(self.store_link, mode='freeze')
-            await self.set_runners()
+            await self.set_runner_faults()
             await anyio.sleep(0.3)
             self.leader.send_signal(signal.SIGSTOP)
             await running.set_faults(self.store_link, mode='pass')
@@ -189,8 +191,8 @@
             self.leader.send_signal(signal.SIGCONT)
             await self.assert_none_late(acknowledged)
 
-    async def test_a_loss_of_power_right_after_the_acks(self):
-        """A new leader starts what was cancelled just before."""
+    async def test_a_power_failure_right_after_the_acknowledgements(self):
+        """A new leader starts jobs that were cancelled just before."""
         async with self.deploy() as running:
             await self.start(running)
             await self.submit_all()
@@ -201,7 +203,7 @@
             }
             for name in ('entry-1', 'entry-2', *INSTANCES):
                 await running.running.processes[name].stop(signal.SIGKILL)
-            await self.set_runners(restart=True)
+            await self.set_runner_faults(restart=True)
             await running.start_entry('entry-2')
             for name in INSTANCES:
                 await running.start_sidecar(name, controls[name]['control'])
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -19,11 +19,11 @@
         self.assertEqual(1000, queue.target_ms)
         self.assertFalse(queue.advised)
 
-    def test_new_fields_are_passed_over(self):
+    def test_unknown_fields_are_ignored(self):
         text = json.dumps({**deployed.CONFIGURATION, 'colour': 'red'})
         self.assertEqual(1, configuration.decode(text).version)
 
-    def test_what_cannot_be_read_is_an_error(self):
+    def test_an_unreadable_configuration_is_an_error(self):
         for text in ('', '[]', '{"routes":[]}', '{"version":"x"}'):
             self.assertRaises(
                 pydantic.ValidationError, configuration.decode, text
@@ -32,9 +32,9 @@
 
 class ViewTest(base.TestCase):
     def test_a_version_never_goes_back(self):
-        """A removed queue takes jobs again for a moment.
+        """A removed queue temporarily accepts jobs again.
 
-        An answer that was held up carries an earlier version.
+        A delayed answer carries an earlier version.
         """
         view = queues.View()
         self.assertTrue(view.offer(queues.Configuration(7)))
@@ -42,7 +42,7 @@
         self.assertFalse(view.offer(queues.Configuration(7)))
         self.assertEqual(7, view.current.version)
 
-    def test_the_longest_prefix_decides(self):
+    def test_the_longest_matching_prefix_is_chosen(self):
         found = queues.Configuration(
             1,
             (
--- a/tests/platform/test_crashing_tasks.py
+++ b/tests/platform/test_crashing_tasks.py
@@ -8,22 +8,22 @@
 from tests import base
 
 IDS = tuple(f'{number:016x}' for number in range(1, 40))
-# Whose first task ends the agent that starts it.
+# The job whose first task crashes the agent that starts it.
 BAD = 'f' * 16
-# Three crashes may be needed to tell who it was, two more starts may be on
-# their way; what comes after those only does harm.
-MOST_STARTS = 5
+# Three crashes may be needed to identify the task, and two more starts may
+# be in flight; any further start only disturbs other work.
+MAX_STARTS = 5
 
 
 @pytest.mark.processes
 class CrashingTasksTest(base.TestCase):
-    """A task ends the worker's agent that starts it, wherever that is.
+    """A task crashes every worker's agent that starts it.
 
     Its job stayed active, the task was started about five times a second,
-    and all that ran beside it was thrown back each time. A run that is lost
-    with its agent costs the task no attempt, so nothing ended it. On
-    sixteen crashes of a played minute one of three tasks had been started 3
-    to 57 ms before:
+    and all colocated tasks lost their progress each time. A run that is
+    lost with its agent costs the task no attempt, so nothing ended it. At
+    each of sixteen crashes in a simulated minute one of three tasks had
+    been started 3 to 57 ms before:
 
         started task=867558e84388ba86.0.0.0 run=2
         worker-lost error="hold: RemoteProtocolError"    0.009 s later
@@ -43,37 +43,37 @@
         body = deployed.make_body(*counts, **fields)
         self.assertEqual(200, await running.submit('entry-1', id, body))
 
-    async def wait_given_up(self, running, id, *keys):
-        """Wait for the job's end, or for one start too many."""
+    async def wait_abandoned(self, running, id, *keys):
+        """Wait until the job has failed or exceeds the limit of starts."""
         names = {f'{id}.{key}' for key in keys}
         with anyio.fail_after(40.0):
             while True:
                 starts = await running.list_starts()
                 tasks = [start['task'] for start in starts]
-                most = max(tasks.count(name) for name in names)
+                max_count = max(tasks.count(name) for name in names)
                 answer = await running.call('entry-2', 'GET', id)
                 if answer.json().get('state') == 'failed':
                     break
-                if most > MOST_STARTS:
+                if max_count > MAX_STARTS:
                     break
                 await anyio.sleep(0.05)
-        self.assertLessEqual(most, MOST_STARTS)
+        self.assertLessEqual(max_count, MAX_STARTS)
 
-    async def test_a_task_that_crashes_its_agents_is_given_up(self):
+    async def test_a_task_that_crashes_its_agents_is_abandoned(self):
         async with self.deploy() as running:
             await self.start(running)
             for id in IDS[:6]:
                 await self.submit(running, id, 3, payload='1500')
             await self.submit(running, BAD, 1, payload='crash=0.0.0 300')
-            await self.wait_given_up(running, BAD, '0.0.0')
+            await self.wait_abandoned(running, BAD, '0.0.0')
             for id in IDS[:6]:
                 await running.wait_state('entry-1', id, 'complete', 40.0)
 
-    async def test_the_count_outlives_its_leader(self):
-        """A leader that takes over begins to count anew.
+    async def test_the_crash_count_survives_its_leader(self):
+        """A new leader restarts the count of crashes.
 
-        The task was started as often again with each leader: what the
-        first one had counted was kept in its memory alone.
+        The task was started as often again under each leader, since the
+        count was only held in the leader's memory.
         """
         async with self.deploy() as running:
             await self.start(running)
@@ -88,26 +88,26 @@
             process.send_signal(signal.SIGKILL)
             await process.handle.wait()
             await running.start_entry(leader)
-            await self.wait_given_up(running, BAD, '0.0.0')
+            await self.wait_abandoned(running, BAD, '0.0.0')
             for id in IDS[:6]:
                 await running.wait_state('entry-2', id, 'complete', 40.0)
 
-    async def test_a_task_that_lasts_is_given_up_as_well(self):
-        """It has no limit on how often it may fail, and had none here."""
+    async def test_a_long_running_task_is_abandoned_as_well(self):
+        """Its failures are not limited, and its crashes were not either."""
         async with self.deploy() as running:
             await self.start(running)
             await self.submit(running, IDS[0], 3, payload='1500')
             await self.submit(
                 running, BAD, 1, payload='crash=0.0.0 lasts', longRunning=True
             )
-            await self.wait_given_up(running, BAD, '0.0.0')
+            await self.wait_abandoned(running, BAD, '0.0.0')
             await running.wait_state('entry-1', IDS[0], 'complete', 40.0)
 
-    async def test_several_bad_tasks_of_a_step_are_told_from_others(self):
-        """Four tasks of one step crash four agents at one moment.
+    async def test_several_bad_tasks_of_a_step_are_identified(self):
+        """Four tasks of one step crash four agents simultaneously.
 
-        That looks like a loss of power, for which no task is to blame; it
-        was taken for one again and again, and the step went round.
+        That looks like a power failure, which no task has caused. It was
+        repeatedly mistaken for one, and the step restarted endlessly.
         """
         async with self.deploy() as running:
             await self.start(running)
@@ -116,28 +116,28 @@
             keys = tuple(f'0.0.{number}' for number in range(4))
             payload = f'crash={"/".join(keys)} 300'
             await self.submit(running, BAD, 4, payload=payload, maxPerServer=1)
-            await self.wait_given_up(running, BAD, *keys)
+            await self.wait_abandoned(running, BAD, *keys)
             for id in IDS[:6]:
                 await running.wait_state('entry-1', id, 'complete', 40.0)
 
     async def test_a_dead_agent_clears_no_task(self):
-        """An agent that crashed is back after seconds, as most are.
+        """A crashed agent returns after seconds, as most do.
 
-        Its sidecar goes on to report what ran at its last look, so that the
-        task looked as if it had outlived the time of its crashes: it was
-        cleared each time, and its job never given up.
+        Its sidecar continues to report the runs of its last poll, so that
+        the task seemed to have run for longer than until its earlier
+        crashes: it was cleared each time, and its job never abandoned.
         """
         async with self.deploy() as running:
             await self.start(running)
             for runner in running.runners.values():
                 await running.set_faults(runner, down_seconds=3.0)
             await self.submit(running, BAD, 1, payload='crash=0.0.0 300')
-            await self.wait_given_up(running, BAD, '0.0.0')
+            await self.wait_abandoned(running, BAD, '0.0.0')
 
-    async def test_starts_that_are_carried_out_late_end_with_the_job(self):
-        """Orders of a bad task are on their way when its job is given up.
+    async def test_starts_that_are_executed_late_end_with_the_job(self):
+        """Orders of a bad task are in flight when its job is abandoned.
 
-        Its agents answer no start and carry it out 1.5 s later, after the
+        Its agents answer no start and execute it 1.5 s later, after the
         leader has settled it or started the task elsewhere.
         """
         async with self.deploy() as running:
@@ -147,11 +147,11 @@
                     runner, late_starts=3, late_seconds=1.5
                 )
             await self.submit(running, BAD, 1, payload='crash=0.0.0 300')
-            await self.wait_given_up(running, BAD, '0.0.0')
-            given_up_at = time.time()
+            await self.wait_abandoned(running, BAD, '0.0.0')
+            abandoned_at = time.time()
             await anyio.sleep(4.0)
             starts = await running.list_starts()
-            late = [one for one in starts if one['began'] > given_up_at]
+            late = [start for start in starts if start['began'] > abandoned_at]
             self.assertEqual([], late)
             answer = await running.call('entry-1', 'GET', BAD)
             self.assertEqual('failed', answer.json()['state'])
@@ -159,7 +159,7 @@
     async def test_a_later_occurrence_that_crashes_its_agents_ends_the_job(
         self,
     ):
-        """A report that recurs does well, until its data break it."""
+        """A recurring job succeeds until its data make a task crash."""
         async with self.deploy() as running:
             await self.start(running)
             body = deployed.make_body(1, payload='crash=1.0.0 100')
@@ -171,13 +171,15 @@
             body.update(recurring)
             status = await running.submit('entry-1', BAD, body)
             self.assertEqual(200, status)
-            await self.wait_given_up(running, BAD, '1.0.0')
+            await self.wait_abandoned(running, BAD, '1.0.0')
             starts = await running.list_starts()
-            done = [one['task'] for one in starts if one['how'] == 'done']
+            done = [
+                start['task'] for start in starts if start['how'] == 'done'
+            ]
             self.assertIn(f'{BAD}.0.0.0', done)
             self.assertNotIn(f'{BAD}.1.0.0', done)
 
-    async def test_a_gang_with_a_bad_member_is_given_up(self):
+    async def test_a_gang_with_a_bad_member_is_abandoned(self):
         async with self.deploy() as running:
             await self.start(running)
             await self.submit(running, IDS[0], 3, payload='1500')
@@ -189,11 +191,11 @@
                 gang=True,
                 maxPerServer=1,
             )
-            await self.wait_given_up(running, BAD, '0.0.2')
+            await self.wait_abandoned(running, BAD, '0.0.2')
             await running.wait_state('entry-1', IDS[0], 'complete', 40.0)
 
-    async def test_tasks_that_crash_later_are_given_up(self):
-        """An agent may go on for a second with the task that ends it."""
+    async def test_tasks_that_crash_later_are_abandoned(self):
+        """An agent may run for a second with the task that crashes it."""
         async with self.deploy() as running:
             await self.start(running)
             for runner in running.runners.values():
@@ -201,14 +203,14 @@
             for id in IDS[:6]:
                 await self.submit(running, id, 3, payload='1500')
             await self.submit(running, BAD, 1, payload='crash=0.0.0 3000')
-            await self.wait_given_up(running, BAD, '0.0.0')
+            await self.wait_abandoned(running, BAD, '0.0.0')
             for id in IDS[:6]:
                 await running.wait_state('entry-1', id, 'complete', 40.0)
 
-    async def test_no_job_is_given_up_where_all_agents_crash(self):
-        """Power fails three times in five seconds, and nothing is to blame.
+    async def test_no_job_is_abandoned_where_all_agents_crash(self):
+        """Power fails three times in five seconds; no task is the cause.
 
-        Each task has three crashes to its name, all soon after a start.
+        Each task has three crashes on record, all soon after a start.
         """
         async with self.deploy() as running:
             await self.start(running)
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -28,21 +28,21 @@
 
 
 class Agent:
-    """Notes what it is told."""
+    """Records the heartbeats that it receives."""
 
     def __init__(self):
-        self.found = []
+        self.received = []
 
     def note_heartbeat(self, heartbeat):
-        self.found.append(heartbeat)
+        self.received.append(heartbeat)
 
 
 class HeartbeatsTest(base.TestCase):
-    """A report comes from another writer, and cannot be what it says.
+    """Another program sends a report with impossible values.
 
-    One with a capacity that no message holds ended the sidecar's link to
-    the leader with an error, each time that it reported; work on the
-    instance was given up for lost, although its own agent was well.
+    A capacity that exceeds the range of the message ended the sidecar's
+    link to the leader with an error at each report; the instance's work
+    was abandoned as lost, although its own agent was healthy.
     """
 
     def setUp(self):
@@ -68,9 +68,9 @@
         await self.application.serve(scope, receive, send)
         return statuses[0]
 
-    async def test_a_malformed_report_is_refused_and_the_others_hold(self):
+    async def test_a_malformed_report_is_refused_and_others_are_accepted(self):
         self.assertEqual(200, await self.put(json.dumps(GOOD).encode()))
         for body in MALFORMED:
             self.assertEqual(400, await self.put(body), body)
         self.assertEqual(200, await self.put(json.dumps(GOOD).encode()))
-        self.assertEqual(2, len(self.agent.found))
+        self.assertEqual(2, len(self.agent.received))
--- a/tests/platform/test_kvstore.py
+++ b/tests/platform/test_kvstore.py
@@ -5,11 +5,11 @@
 
 
 class ValueTest(base.TestCase):
-    def test_bytes_of_another_writer_hide_no_other_entry(self):
-        """No leader loads its jobs: a scan of their prefix never ends well.
+    def test_an_undecodable_value_hides_no_other_entry(self):
+        """No leader can load its jobs: each scan of their prefix fails.
 
-        Another writer had left bytes there that are no text, and the whole
-        page was taken for no answer of the store.
+        Another writer had stored bytes there that are not text, and the
+        complete page was rejected as not an answer of the store.
         """
         for value in ('%%%', base64.b64encode(b'\xff\xfe\x80').decode()):
             item = kvstore._Item(key='inbox/job/x', value=value, revision=3)
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.processes
 class PlatformProcessesTest(base.TestCase):
-    """Real processes against stand-ins on the platform's wire."""
+    """Real processes with stand-ins for the platform's services."""
 
     def deploy(self) -> deployed.Deployed:
         return deployed.Deployed(self.make_directory())
@@ -20,7 +20,7 @@
         starts = await running.list_starts()
         self.assertEqual([], deployed.find_overlaps(starts))
 
-    async def test_jobs_are_done_once_through_any_entry(self):
+    async def test_jobs_are_executed_once_through_any_entry(self):
         async with self.deploy() as running:
             await running.start_entry('entry-1')
             await running.start_entry('entry-2')
@@ -47,8 +47,8 @@
     async def test_a_caller_reads_why_a_body_is_refused(self):
         """An upload of 10 MB ends in a reset connection.
 
-        The entry answered at once and closed with bytes unread, so that
-        the caller never got to read the answer.
+        The entry answered immediately and closed the connection with
+        unread bytes, so that the caller could not read the answer.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -62,11 +62,11 @@
             answer = await running.call('entry-1', 'GET', IDS[0])
             self.assertEqual(410, answer.status_code)
 
-    async def test_a_job_that_fits_no_instance_is_refused_at_once(self):
-        """A build is accepted and never begins.
+    async def test_a_job_that_fits_no_instance_is_refused_immediately(self):
+        """A job is accepted and never starts.
 
-        It needs more processors than any instance has, which only the
-        leader could know; the caller reached another entry.
+        It needs more processors than any instance has; only the leader
+        could tell that, and the caller reached another entry.
         """
         async with self.deploy() as running:
             leader = await running.start_entry('entry-1')
@@ -82,9 +82,9 @@
             self.assertEqual(410, answer.status_code)
 
     async def test_steps_run_only_where_the_advisor_allows(self):
-        """A build on a queue with an advisor never begins.
+        """A job on a queue with an advisor never starts.
 
-        Its starts carried no ticket, or went to instances that the
+        Its starts carried no permit, or went to instances that the
         queue's policy forbids; the advisor was busy at first.
         """
         async with self.deploy() as running:
@@ -105,7 +105,7 @@
                 [boots[1]['boot']] * 5, [start['boot'] for start in starts]
             )
 
-    async def test_both_interfaces_and_the_metrics_tell_of_one_job(self):
+    async def test_both_interfaces_and_the_metrics_report_one_job(self):
         async with self.deploy() as running:
             process = await running.start_entry('entry-1')
             await running.start_instance('side-1')
@@ -143,10 +143,10 @@
             )
 
     async def test_the_work_goes_on_when_the_leader_is_killed(self):
-        """A build runs twice after an entry was killed.
+        """A job runs twice after an entry was killed.
 
-        The entry that placed it died before it saw the start, and the
-        next one knows of the claim only.
+        The entry that placed it died before it observed the start, and
+        the next leader knows only the claim.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -170,10 +170,10 @@
             self.assertEqual(30, len(starts))
 
     async def test_a_lost_answer_to_a_start_starts_nothing_twice(self):
-        """A build runs on two instances at once.
+        """A job runs on two instances simultaneously.
 
         The answer to its start was lost, it was started elsewhere, and
-        the first order was carried out a second later.
+        the first order was executed a second later.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -189,11 +189,11 @@
             await anyio.sleep(1.5)
             await self.assert_no_overlap(running)
 
-    async def test_a_worker_that_is_silent_loses_its_watcher_once(self):
+    async def test_a_silent_worker_loses_its_watcher_once(self):
         """A watcher never runs again although its worker is gone.
 
-        Its sidecar lives on; the watcher may only be started elsewhere
-        when its lease has run out, or it would run in two places.
+        Its sidecar survives; the watcher may only be started elsewhere
+        once its lease has expired, or it would run on two instances.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -207,7 +207,7 @@
             await self.assert_no_overlap(running)
 
     async def test_a_restarted_sidecar_adopts_what_runs(self):
-        """Builds are run anew each time a sidecar is replaced."""
+        """Jobs run again each time a sidecar is replaced."""
         async with self.deploy() as running:
             await running.start_entry('entry-1')
             sidecar = await running.start_instance('side-1')
@@ -221,12 +221,12 @@
             self.assertEqual(3, len(await running.list_starts()))
 
     async def test_work_done_within_its_lease_is_not_done_again(self):
-        """Builds are run anew although a replaced sidecar had done them.
+        """Jobs run again although their worker had completed them.
 
-        The sidecar is killed, the leases that it granted run out and the
-        leader logs run-lost reason=unreachable; the new one reports the
-        ends of the first runs, done in time. They were thrown away
-        (run-ended how=done used=no) and six starts made of three.
+        The sidecar is killed, the leases that it granted expire and the
+        leader logs run-lost reason=unreachable; the new sidecar reports
+        the ends of the first runs, completed in time. They were discarded
+        (run-ended how=done used=no), which made six starts of three.
         """
         async with self.deploy() as running:
             running.lease_seconds = 4.0
@@ -235,10 +235,10 @@
             self.assertEqual(3, len(await running.list_starts()))
 
     async def test_leases_of_a_second_cost_no_work(self):
-        """Builds run up to five times where leases last for a second.
+        """Jobs run up to five times where leases last for a second.
 
-        Nothing failed: beside eight busy processes renewals came 0.15 s
-        late, each after its lease, and the runs ended as lapsed.
+        Nothing failed: under the load of eight busy processes renewals
+        were 0.15 s late, after their leases, and the runs lapsed.
         """
         async with self.deploy() as running:
             running.lease_seconds = 1.0
@@ -249,11 +249,11 @@
             await running.wait_state('entry-1', IDS[0], 'complete')
             self.assertEqual(3, len(await running.list_starts()))
 
-    async def test_what_nobody_renewed_in_time_runs_again(self):
-        """Builds wait for ever for a sidecar that comes back too late.
+    async def test_runs_that_were_not_renewed_in_time_run_again(self):
+        """Jobs wait forever for a sidecar that returns too late.
 
-        It was away for longer than the leases that it had granted, and
-        its runs were killed with them: they begin anew, once.
+        It was absent for longer than the leases that it had granted, and
+        its runs were killed when these expired: they start again, once.
         """
         async with self.deploy() as running:
             running.lease_seconds = 4.0
@@ -266,7 +266,7 @@
             )
 
     async def replace_sidecar_late(self, running, payload):
-        """Start three tasks, and replace their sidecar after the leases."""
+        """Start three tasks; replace their sidecar once the leases expire."""
         entry = await running.start_entry('entry-1')
         sidecar = await running.start_instance('side-1')
         body = deployed.make_body(3, payload=payload)
@@ -278,10 +278,10 @@
         await running.start_sidecar('side-1', control)
 
     async def test_a_submission_is_honest_while_the_store_is_away(self):
-        """A build that was refused runs all the same.
+        """A job that was refused runs nevertheless.
 
-        The store was silent, the entry said that nothing was stored, and
-        the write took effect a moment later.
+        The store was silent, the entry answered that nothing was stored,
+        and the write took effect shortly afterwards.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -293,7 +293,7 @@
             self.assertEqual('1', answer.headers['retry-after'])
             await running.set_faults(running.store, lose_writes=9)
             answer = await running.call('entry-1', 'POST', IDS[1], body)
-            # Unknown, or found by a repetition; never 'not accepted'.
+            # Unknown, or resolved by a retry; never 'not accepted'.
             self.assertIn(answer.status_code, (200, 504))
             await running.set_faults(running.store)
             answer = await running.call('entry-1', 'POST', IDS[1], body)
@@ -302,11 +302,11 @@
             answer = await running.call('entry-1', 'GET', IDS[0])
             self.assertEqual(410, answer.status_code)
 
-    async def test_a_read_is_turned_away_while_the_store_is_silent(self):
-        """A caller is told that its job is gone, or waits out its deadline.
+    async def test_a_read_is_refused_while_the_store_is_silent(self):
+        """A caller gets 410 for its job, or waits until its deadline.
 
-        The store does not answer; the entry says so with a time to come
-        back, and what it says after that time is what the store has.
+        The store does not answer; the entry reports that with a retry
+        time, and what it answers after that time is the store's state.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -319,11 +319,12 @@
             self.assertEqual(410, answer.status_code)
 
     async def test_a_read_outlasts_a_short_silence_of_the_store(self):
-        """A caller is turned away for a store that is back at once.
+        """A caller is refused although the store soon answers again.
 
-        The store was silent for 1.2 s, as beside load; the entry gave it
-        up after 0.9 s (find-unanswered with store_silent above that) and
-        answered 503 after 1.1 s, with 1.9 s of the caller's time left.
+        The store was silent for 1.2 s, as happens under load; the entry
+        counted it as lost after 0.9 s (find-unanswered with store_silent
+        above that) and answered 503 after 1.1 s, with 1.9 s of the
+        caller's time left.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -338,20 +339,20 @@
         self.assertEqual(410, answer.status_code)
 
     async def test_a_lost_store_is_said_at_once(self):
-        """A caller waits out its deadline for nothing.
+        """A caller waits until its deadline in vain.
 
-        The store has been silent for a while; the entry knows, and holds
-        each new call for as long as the caller waits.
+        The store has been silent for a while; the entry knows that, but
+        holds each new call for as long as the caller waits.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
             await running.set_faults(running.store, down='silent')
             await anyio.sleep(2.0)
-            begun = anyio.current_time()
+            started_at = anyio.current_time()
             answer = await running.call(
                 'entry-1', 'POST', IDS[0], deployed.make_body(1)
             )
-            self.assertLess(anyio.current_time() - begun, 0.4)
+            self.assertLess(anyio.current_time() - started_at, 0.4)
             self.assertEqual(503, answer.status_code)
             self.assertIn('retry-after', answer.headers)
             await running.set_faults(running.store)
@@ -359,8 +360,8 @@
             answer = await running.call('entry-1', 'GET', IDS[0])
             self.assertEqual(410, answer.status_code)
 
-    async def test_an_entry_without_the_store_passes_calls_on(self):
-        """One in three callers is turned away while the store is fine.
+    async def test_an_entry_without_the_store_forwards_calls(self):
+        """One in three callers is refused although the store works.
 
         The store serves the other entries and not this one.
         """
@@ -383,12 +384,12 @@
             await running.wait_state('entry-2', IDS[0], 'complete')
 
     async def test_a_leader_loads_over_a_thin_link(self):
-        """Nothing starts any more after all machines lost power.
+        """No task starts any more after a power failure of all machines.
 
-        The store sent what it keeps of the jobs in pages that took longer
-        than a call may, over the link that there was; each leader ended
-        its term with term-ended error="kv-range: TimeoutError, noticed
-        0.004 s late" and the next one came no further: 14 terms in 30 s.
+        The store sent the stored jobs in pages that took longer than the
+        timeout of a call over a slow link; each leader ended its term
+        with term-ended error="kv-range: TimeoutError, noticed 0.004 s
+        late", and the next one got no further: 14 terms in 30 s.
         """
         async with self.deploy() as running:
             first = await running.start_entry('entry-1')
@@ -399,7 +400,7 @@
             address, control = await running.running.start_proxy(
                 'proxy', running.store
             )
-            # What is kept takes 3 s, where a call may take 0.5 s.
+            # Loading takes 3 s, where a call may take 0.5 s.
             await running.running.set_faults(control, rate=80_000)
             second = await running.start_entry('entry-2', store=address)
             loaded = await second.wait_event('loaded')
@@ -409,8 +410,8 @@
     async def test_a_late_write_of_the_leader_undoes_nothing(self):
         """A job that was complete is active again.
 
-        The store carried out one of the leader's writes a second after
-        the leader had repeated it and gone on.
+        The store executed one of the leader's writes a second after the
+        leader had repeated it and continued.
         """
         async with self.deploy() as running:
             await running.start_entry('entry-1')
@@ -427,7 +428,7 @@
             self.assertEqual({'state': 'complete'}, answer.json())
             await self.assert_no_overlap(running)
 
-    async def test_nothing_is_missed_when_the_history_is_lost(self):
+    async def test_no_change_is_missed_when_the_history_is_lost(self):
         async with self.deploy() as running:
             await running.start_entry('entry-1')
             await running.start_entry('entry-2')
@@ -442,7 +443,7 @@
             )
             await running.wait_state('entry-1', IDS[0], 'complete')
 
-    async def test_a_change_is_in_force_at_once_and_stays(self):
+    async def test_a_change_is_promptly_in_force_and_stays(self):
         async with self.deploy() as running:
             entry = await running.start_entry('entry-1')
             changed = {**deployed.CONFIGURATION, 'version': 5, 'routes': []}
@@ -455,7 +456,7 @@
             answer = await running.call('entry-1', 'GET')
             self.assertEqual(404, answer.status_code)
 
-    async def test_a_graceful_stop_hands_over_at_once(self):
+    async def test_a_graceful_stop_hands_over_promptly(self):
         async with self.deploy() as running:
             await running.start_entry('entry-1')
             await running.start_entry('entry-2')
--- a/tests/platform/test_standstills.py
+++ b/tests/platform/test_standstills.py
@@ -8,21 +8,21 @@
 
 ID = '00000000000000aa'
 LEASE_SECONDS = 1.0
-# Renewals, and the words that they need, come eight times in a lease each.
-BORNE_SECONDS = LEASE_SECONDS / 2
-# A read is tried for three quarters of the 3 s that its caller waits, and
-# the store is asked again each 0.3 s.
+# Renewals and the messages they depend on each occur eight times per lease.
+TOLERATED_SECONDS = LEASE_SECONDS / 2
+# A read is attempted for three quarters of the 3 s that its caller waits;
+# the store is called again every 0.3 s.
 SILENCE_SECONDS = 1.6
 
 
 @pytest.mark.processes
 class StandstillsTest(base.TestCase):
-    """What a process that stands still for a moment may cost."""
+    """Effects of a process that is briefly suspended."""
 
-    async def stop_again_and_again(self, process):
+    async def suspend_repeatedly(self, process):
         for _ in range(4):
             process.send_signal(signal.SIGSTOP)
-            await anyio.sleep(BORNE_SECONDS)
+            await anyio.sleep(TOLERATED_SECONDS)
             process.send_signal(signal.SIGCONT)
             await anyio.sleep(LEASE_SECONDS)
 
@@ -34,7 +34,7 @@
             body = deployed.make_body(3, payload='7000')
             await running.submit('entry-1', ID, body)
             await running.wait_starts(3)
-            await self.stop_again_and_again(running.running.processes[name])
+            await self.suspend_repeatedly(running.running.processes[name])
             await running.wait_state('entry-1', ID, 'complete')
             self.assertEqual(3, len(await running.list_starts()))
 
--- a/tests/platform/test_stopping_entry.py
+++ b/tests/platform/test_stopping_entry.py
@@ -12,20 +12,20 @@
 
 @pytest.mark.processes
 class StoppingEntryTest(base.TestCase):
-    """What callers get from an entry that was told to stop."""
+    """Answers to callers from an entry that is stopping."""
 
     async def test_a_stopping_entry_answers_each_call(self):
-        """A read gets 500, an empty body and no time to come back.
+        """A read gets 500, an empty body and no retry time.
 
-        It came while the entry was stopping, and waited for a silent store
-        for longer than the entry had left.
+        It arrived while the entry was stopping, and waited for a silent
+        store for longer than the entry had left to run.
         """
         async with deployed.Deployed(self.make_directory()) as running:
             process = await running.start_entry('entry-1')
             statuses = []
 
-            async def read(after):
-                await anyio.sleep(after)
+            async def read(delay):
+                await anyio.sleep(delay)
                 try:
                     answer = await running.call('entry-1', 'GET', ID)
                 except httpx.TransportError:
--- a/tests/platform/test_submissions.py
+++ b/tests/platform/test_submissions.py
@@ -11,7 +11,7 @@
 
 
 class SubmissionsTest(base.TestCase):
-    def test_every_field_has_its_place(self):
+    def test_every_field_is_decoded(self):
         found = submissions.decode(
             encode(
                 spec='payload',
@@ -66,14 +66,14 @@
         for text in expected:
             self.assertIn(text, str(error))
 
-    def test_each_wrong_field_is_named_with_its_place(self):
+    def test_each_wrong_field_is_named_with_its_path(self):
         self.check_invalid(
             encode(phases=[{'count': 'x'}, {'cpu': -1, 'colour': 3}]),
             'phases.0.count',
             'phases.1.colour',
         )
 
-    def test_what_is_no_object_is_refused(self):
+    def test_a_body_that_is_not_an_object_is_refused(self):
         for body in (b'', b'[]', b'{', b'\xff', b'null'):
             self.check_invalid(body)
 
--- a/tests/platform/test_templates.py
+++ b/tests/platform/test_templates.py
@@ -1,4 +1,4 @@
-"""The settings' templates of the deploy file give settings that load."""
+"""The deploy file's settings templates render to settings that load."""
 
 import pathlib
 import re
@@ -10,7 +10,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 SECTION = re.compile(r'\{\{#([\w.]+)\}\}\n(.*?)\{\{/\1\}\}\n', re.DOTALL)
 VALUE = re.compile(r'\{\{([\w.]+)\}\}')
-# As the platform would fill them in, under the names of its page.
+# Values as the platform fills them in, under its documented names.
 FIELDS = {
     'node': 'edge-a-1',
     'region': 'north',
@@ -40,8 +40,8 @@
 class TemplatesTest(base.TestCase):
     """No entry starts after a deployment: its settings do not load.
 
-    An option of a template was spelled in another way than the settings
-    have it; nothing but the platform itself renders the template.
+    A template spelled an option differently from the settings; only the
+    platform itself renders the template.
     """
 
     def load(self, role, fields):
@@ -59,9 +59,9 @@
         jobs = self.load('sidecar', FIELDS)
         self.assertEqual(FIELDS['app'], jobs.worker)
 
-    def test_fields_that_a_deployment_lacks_are_left_out(self):
-        lacking = ('advisor', 'limits.cores', 'limits.cpuShare')
-        fields = {k: v for k, v in FIELDS.items() if k not in lacking}
+    def test_options_of_missing_fields_are_omitted(self):
+        missing = ('advisor', 'limits.cores', 'limits.cpuShare')
+        fields = {k: v for k, v in FIELDS.items() if k not in missing}
         jobs = self.load('entry', fields)
         self.assertIsNone(jobs.advisor)
         self.assertIsNone(jobs.cores)
