--- a/src/persimmonsail/catalogues/catalogue.py
+++ b/src/persimmonsail/catalogues/catalogue.py
@@ -95,7 +95,7 @@
         With every finding in the text.
     """
     collector = findings.Collector(f'catalogue in {file}')
-    locations = findings.Places(file, text)
+    locations = findings.LineIndex(file, text)
     if len(text.encode()) > MAX_BYTES:
         collector.add(locations.find(), f'more than {MAX_BYTES} bytes')
     parser = findings.read_ini(file, text, collector)
@@ -114,7 +114,7 @@
                 dict(parser[section])
             )
         except pydantic.ValidationError as error:
-            collector.add_validation(locations, section, error, model)
+            collector.add_validation_errors(locations, section, error, model)
     _check_names(parser, locations, collector)
     _check_owners(parser, locations, collector)
     collector.raise_if_any()
--- a/src/persimmonsail/operators/commands.py
+++ b/src/persimmonsail/operators/commands.py
@@ -47,7 +47,7 @@
     """Run one command and return the exit code."""
     if arguments.action in OFFLINE_COMMANDS:
         return OFFLINE_COMMANDS[arguments.action](arguments)
-    store = store_module.open_kind(
+    store = store_module.open_adapter(
         arguments.store_kind, arguments.store, arguments.timeout
     )
     try:
--- a/src/persimmonsail/platform/configuration.py
+++ b/src/persimmonsail/platform/configuration.py
@@ -134,7 +134,7 @@
         await self.loaded.wait()
         while True:
             try:
-                found = await self._store.follow(
+                found = await self._store.watch_changes(
                     _CONFIGURATION_KEY, self._followed_revision, _WATCH_SECONDS
                 )
             except exceptions.StoreError:
@@ -173,7 +173,7 @@
                 'configuration-unreadable', revision=revision, error=error
             )
             return
-        if self._view.offer(configuration):
+        if self._view.update(configuration):
             logs.write_event(
                 'configuration',
                 version=configuration.version,
--- a/src/persimmonsail/platform/entry.py
+++ b/src/persimmonsail/platform/entry.py
@@ -64,7 +64,7 @@
         self._store = serving.open_store(settings)
         self._view = queues.View()
         self._links = links_module.Links(
-            links_module.describe_limits(settings.links)
+            links_module.make_limits(settings.links)
         )
         self._leader: leader_module.Leader | None = None
         self._stopping = False
@@ -94,7 +94,7 @@
         """Serve until a signal requests a stop."""
         settings = self._settings
         sock = addresses.bind(settings.process.control)
-        control = addresses.name_of(sock)
+        control = addresses.format_address(sock)
         server = grpclib.server.Server(
             [
                 leaderservice.LeaderService(self._intake, self._get_leader),
@@ -114,11 +114,11 @@
             group = await stack.enter_async_context(anyio.create_task_group())
             follower = configuration.Follower(self._store, self._view)
             group.start_soon(follower.run)
-            group.start_soon(looplag.watch)
+            group.start_soon(looplag.monitor)
             if not self._candidate.is_small:
                 group.start_soon(anyio.to_thread.run_sync, _import_leader)
             group.start_soon(
-                capacities.keep_reading, self._store, self._capacities
+                capacities.run_read_loop, self._store, self._capacities
             )
             candidacy = anyio.CancelScope()
             candidacy_ended = anyio.Event()
@@ -149,7 +149,7 @@
                     - _ANSWER_MARGIN_SECONDS
                 )
                 if self._leader is not None:
-                    await self._leader.save_knowledge()
+                    await self._leader.save_learned_state()
                 candidacy.cancel()
                 with anyio.move_on_after(_REDIRECT_SECONDS):
                     await candidacy_ended.wait()
--- a/src/persimmonsail/platform/heartbeats.py
+++ b/src/persimmonsail/platform/heartbeats.py
@@ -88,7 +88,7 @@
             return
         boot = urllib.parse.unquote(path.removeprefix(_PATH_PREFIX))
         if scope['method'] == 'DELETE':
-            self._agent.note_boot_over(boot, asked=True)
+            self._agent.note_boot_ended(boot, announced=True)
         elif scope['method'] == 'PUT':
             try:
                 report = _Report.model_validate_json(body)
--- a/src/persimmonsail/platform/kvstore.py
+++ b/src/persimmonsail/platform/kvstore.py
@@ -179,10 +179,10 @@
         """See ``Store.revoke_lease``."""
         await self._call('DELETE', 'kv-lease-end', lease)
 
-    async def follow(
+    async def watch_changes(
         self, prefix: str, after: int, wait: float
     ) -> store.Changes:
-        """See ``TransactionalStore.follow``."""
+        """See ``TransactionalStore.watch_changes``."""
         seconds = min(wait, _MAX_WATCH_SECONDS)
         query = {
             'prefix': prefix,
@@ -203,7 +203,7 @@
 
     async def watch(self, prefix: str, after: int, wait: float) -> store.Page:
         """See ``Store.watch``."""
-        found = await self.follow(prefix, after, wait)
+        found = await self.watch_changes(prefix, after, wait)
         return store.Page(
             found.revision,
             tuple(
@@ -226,7 +226,7 @@
         query: dict[str, t.Any] | None = None,
         body: dict[str, t.Any] | None = None,
         timeout: float | None = None,
-    ) -> httpclient.Answer:
+    ) -> httpclient.Response:
         target = f'/v1/{name}/{detail}' if detail else f'/v1/{name}'
         if query:
             target = f'{target}?{urllib.parse.urlencode(query)}'
@@ -237,13 +237,13 @@
             )
         except exceptions.ServiceNotReached as error:
             self._failing = True
-            metrics.STORE_CALLS.increase(name, 'not-sent')
+            metrics.STORE_CALLS.increment(name, 'not-sent')
             raise exceptions.CallRefused(f'{name}: {error}') from error
         except exceptions.ServiceUnanswered as error:
             self._failing = True
-            metrics.STORE_CALLS.increase(name, 'no-answer')
+            metrics.STORE_CALLS.increment(name, 'no-answer')
             raise exceptions.StoreUnavailable(f'{name}: {error}') from error
-        metrics.STORE_CALLS.increase(name, str(answer.status))
+        metrics.STORE_CALLS.increment(name, str(answer.status))
         # A watch waits by design; its duration is not the store's latency.
         if name != 'kv-watch':
             metrics.STORE_SECONDS.record(time.monotonic() - started_at, name)
@@ -301,7 +301,7 @@
     return exceptions.Conflict(key, item.revision if item else 0)
 
 
-def _parse(model: type[_ModelT], answer: httpclient.Answer) -> _ModelT:
+def _parse(model: type[_ModelT], answer: httpclient.Response) -> _ModelT:
     # An intermediary may answer in the store's place, with a page of its
     # own; a write may have taken effect nevertheless.
     try:
--- a/src/persimmonsail/platform/runner.py
+++ b/src/persimmonsail/platform/runner.py
@@ -39,8 +39,8 @@
     # Rows of number, task, run, kind of end, and checkpoint.
     finished: tuple[tuple[int, str, int, str, str], ...] = ()
 
-    def to_snapshot(self) -> worker.Look:
-        return worker.Look(
+    def to_snapshot(self) -> worker.Snapshot:
+        return worker.Snapshot(
             self.clock_ms,
             tuple(_parse_running(row) for row in self.running),
             tuple(worker.EndedRow(*row) for row in self.finished),
@@ -91,7 +91,7 @@
         body = {'task': task, 'run': run, 'fencingToken': epoch}
         await self._call('run-stop', boot, body)
 
-    async def set_pace(
+    async def set_speed_limit(
         self, boot: str, epoch: int, task: str, run: int, percent: int
     ) -> None:
         """See ``Worker.set_pace``."""
@@ -103,14 +103,14 @@
         }
         await self._call('pace', boot, body)
 
-    async def look(
+    async def poll(
         self,
         boot: str,
         epoch: int,
         acknowledged: int,
         until_ms: int | None = None,
         wait_seconds: float = 0.0,
-    ) -> worker.Look:
+    ) -> worker.Snapshot:
         """See ``Worker.look``."""
         body = {'fencingToken': epoch, 'acked': acknowledged}
         if until_ms is not None:
@@ -139,7 +139,7 @@
         boot: str,
         body: dict[str, t.Any],
         timeout: float = _ORDER_TIMEOUT_SECONDS,
-    ) -> httpclient.Answer:
+    ) -> httpclient.Response:
         try:
             answer = await self._client.call(
                 'POST', f'/v1/{name}', body, {_BOOT_HEADER: boot}, timeout
@@ -162,7 +162,7 @@
         raise exceptions.WorkerUnavailable(f'{name}: status {status}')
 
 
-def _parse(model: type[_ModelT], answer: httpclient.Answer) -> _ModelT:
+def _parse(model: type[_ModelT], answer: httpclient.Response) -> _ModelT:
     try:
         return model.model_validate_json(answer.content)
     except pydantic.ValidationError as error:
--- a/src/persimmonsail/platform/serving.py
+++ b/src/persimmonsail/platform/serving.py
@@ -35,7 +35,7 @@
     settings: settings_module.Settings,
 ) -> store_module.TransactionalStore:
     """Return the configured store; it must support transactions."""
-    opened = store_module.open_kind(
+    opened = store_module.open_adapter(
         settings.store.kind, settings.store.address, settings.store.timeout
     )
     if not isinstance(opened, store_module.TransactionalStore):
--- a/src/persimmonsail/platform/sidecar.py
+++ b/src/persimmonsail/platform/sidecar.py
@@ -38,7 +38,7 @@
         """Serve until a signal requests a stop."""
         settings = self._settings
         sock = addresses.bind(settings.process.control)
-        control = addresses.name_of(sock)
+        control = addresses.format_address(sock)
         server = grpclib.server.Server([self._agent])
         await server.start(sock=sock)
         async with contextlib.AsyncExitStack() as stack:
@@ -46,7 +46,7 @@
             stack.push_async_callback(self._runner.close)
             group = await stack.enter_async_context(anyio.create_task_group())
             await serving.serve_metrics(stack, settings)
-            group.start_soon(looplag.watch)
+            group.start_soon(looplag.monitor)
             group.start_soon(self._agent.run)
             group.start_soon(self._run_registration, control)
             async with httpserver.HttpServer(
@@ -75,7 +75,7 @@
         ).model_dump_json()
         registered = False
         while True:
-            silent_seconds = clock.read() - self._agent.attached_at
+            silent_seconds = clock.read() - self._agent.last_orders_at
             if not registered or silent_seconds > _UNATTACHED_SECONDS:
                 try:
                     item = await self._store.get(key)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -37,9 +37,9 @@
         A delayed answer carries an earlier version.
         """
         view = queues.View()
-        self.assertTrue(view.offer(queues.Configuration(7)))
-        self.assertFalse(view.offer(queues.Configuration(3)))
-        self.assertFalse(view.offer(queues.Configuration(7)))
+        self.assertTrue(view.update(queues.Configuration(7)))
+        self.assertFalse(view.update(queues.Configuration(3)))
+        self.assertFalse(view.update(queues.Configuration(7)))
         self.assertEqual(7, view.current.version)
 
     def test_the_longest_matching_prefix_is_chosen(self):
