--- a/src/persimmonsail/callers/entry.py
+++ b/src/persimmonsail/callers/entry.py
@@ -110,7 +110,7 @@
             self.links,
             lambda: self.partitions.entries,
         )
-        self.view.witness = self.peers.find_confirmed_since
+        self.view.find_peer_evidence = self.peers.find_confirmed_since
 
     async def run_catalogue_updates(self) -> None:
         """Keep the catalogue view up to date until cancelled."""
--- a/src/persimmonsail/catalogues/follower.py
+++ b/src/persimmonsail/catalogues/follower.py
@@ -66,7 +66,9 @@
         self._view.confirm(head, asked_at)
 
     async def _accept_head(self, head: revisions.Head, source: str) -> None:
-        if head.revision <= max(self._view.revision, self._view.refused):
+        if head.revision <= max(
+            self._view.revision, self._view.unreadable_revision
+        ):
             return
         self._view.offer(await read_text(self._store, head), source)
 
--- a/src/persimmonsail/catalogues/revisions.py
+++ b/src/persimmonsail/catalogues/revisions.py
@@ -89,11 +89,11 @@
 
     Attributes
     ----------
-    refused : int
+    unreadable_revision : int
         A higher revision that this process cannot parse; 0 for none.
     established : bool
         Whether this process has itself read the store's head.
-    witness : callable
+    find_peer_evidence : callable
         Returns the monotonic time at which the answers of all peers
         showed that none had a higher revision.
     """
@@ -102,9 +102,9 @@
         self.revision = 0
         self.catalogue = catalogue.EMPTY
         self.confirmed_at = -math.inf
-        self.refused = 0
+        self.unreadable_revision = 0
         self.established = False
-        self.witness: t.Callable[[], float] = _find_no_evidence
+        self.find_peer_evidence: t.Callable[[], float] = _find_no_evidence
         self.changed = anyio.Event()
         self._freshness = freshness
         self._head = NO_HEAD
@@ -118,7 +118,7 @@
     @property
     def evidence_at(self) -> float:
         """Monotonic time of the latest evidence that nothing is higher."""
-        return max(self.confirmed_at, self.witness())
+        return max(self.confirmed_at, self.find_peer_evidence())
 
     @property
     def is_fresh(self) -> bool:
@@ -128,14 +128,17 @@
         accepted changes and would go on enforcing the replaced one. Its
         evidence then expires, and it stops admitting.
         """
-        if self.refused:
+        if self.unreadable_revision:
             return False
         return time.monotonic() - self.evidence_at <= self._freshness
 
     def find_staleness(self) -> str:
         """Return why no work may be admitted; empty if it may be."""
-        if self.refused:
-            return f'catalogue revision {self.refused} cannot be read here'
+        if self.unreadable_revision:
+            return (
+                f'catalogue revision {self.unreadable_revision} '
+                'cannot be read here'
+            )
         if not self.is_fresh:
             return 'neither store nor peers confirm the catalogue'
         return ''
@@ -158,14 +161,14 @@
         bool
             Whether it was applied.
         """
-        if head.revision <= max(self.revision, self.refused):
+        if head.revision <= max(self.revision, self.unreadable_revision):
             return False
         try:
             parsed = catalogue.parse('catalogue', head.text)
         except exceptions.InvalidInput as error:
             # The catalogue is meant for a newer version of this program.
             # What cannot be parsed cannot be enforced: admission stops.
-            self.refused = head.revision
+            self.unreadable_revision = head.revision
             logs.write_warning(
                 'catalogue-refused',
                 revision=head.revision,
@@ -176,7 +179,7 @@
             return False
         self.catalogue = parsed
         self.revision = head.revision
-        self.refused = 0
+        self.unreadable_revision = 0
         self._head = head
         self._applied_at = time.monotonic()
         logs.write_event(
--- a/src/persimmonsail/jobs/gateway.py
+++ b/src/persimmonsail/jobs/gateway.py
@@ -104,7 +104,7 @@
             raise problems.Problem(
                 422, 'Not accepted', problems.NOT_RUN, str(error)
             ) from error
-        _note_call('submit', request, id, outcome.value)
+        _log_call('submit', request, id, outcome.value)
         if outcome is intake_module.Outcome.ACCEPTED:
             return responses.JSONResponse(
                 {'job': id, 'queue': queue.name},
@@ -126,12 +126,12 @@
         id = _read_id(request)
         found = await self._intake.find_state(id, deadline)
         if isinstance(found, record.JobState):
-            _note_call('find', request, id, found.phase.value)
+            _log_call('find', request, id, found.phase.value)
             body = {'job': id, 'queue': queue.name, 'phase': found.phase.value}
             if found.reason:
                 body['reason'] = found.reason
             return responses.JSONResponse(body)
-        _note_call('find', request, id, found.value)
+        _log_call('find', request, id, found.value)
         if found is intake_module.Outcome.ABSENT:
             raise _describe_absent(id)
         raise problems.Problem(
@@ -147,7 +147,7 @@
         queue = self._find_queue(request)
         id = _read_id(request)
         outcome = await self._intake.cancel(id, deadline)
-        _note_call('cancel', request, id, outcome.value)
+        _log_call('cancel', request, id, outcome.value)
         if outcome is intake_module.Outcome.ACCEPTED:
             return responses.JSONResponse(
                 {'job': id, 'queue': queue.name}, status_code=202
@@ -287,10 +287,10 @@
     )
 
 
-def _note_call(
+def _log_call(
     call: str, request: requests.Request, id: str, outcome: str
 ) -> None:
     seconds = time.monotonic() - request.state.begun
-    intake_module.note_call(
+    intake_module.log_call(
         call, id, request.path_params['queue'], outcome, seconds
     )
--- a/src/persimmonsail/jobs/intake.py
+++ b/src/persimmonsail/jobs/intake.py
@@ -59,7 +59,7 @@
     CANCELLED = 'cancelled'
 
 
-def note_call(
+def log_call(
     call: str,
     id: str,
     queue: str,
--- a/src/persimmonsail/platform/front.py
+++ b/src/persimmonsail/platform/front.py
@@ -213,6 +213,6 @@
     ) -> None:
         """Log the request's outcome."""
         seconds = time.monotonic() - self._started_at
-        intake_module.note_call(
+        intake_module.log_call(
             call, id, queue.name, outcome, seconds, **fields
         )
--- a/tests/partitioning/test_peers.py
+++ b/tests/partitioning/test_peers.py
@@ -132,7 +132,7 @@
         view = self.make_view()
 
         async def check(found, listed):
-            view.witness = found.find_confirmed_since
+            view.find_peer_evidence = found.find_confirmed_since
             self.assertTrue(view.is_fresh)
             listed['three'] = partitions.LiveEntry('three', '[::1]:1', 'a')
             self.assertFalse(view.is_fresh)
--- a/tools/guard_list_catalogue.py
+++ b/tools/guard_list_catalogue.py
@@ -22,7 +22,7 @@
     _make(
         'revision comparison',
         'catalogues/revisions.py',
-        'if head.revision <= max(self.revision, self.refused):',
+        'if head.revision <= max(self.revision, self.unreadable_revision):',
         'if False:',
         _REVISIONS,
     ),
@@ -36,7 +36,7 @@
     _make(
         'unreadable catalogue',
         'catalogues/revisions.py',
-        'self.refused = head.revision\n',
+        'self.unreadable_revision = head.revision\n',
         'pass\n',
         _REVISIONS,
     ),
