--- a/src/persimmonsail/decisions/quotas.py
+++ b/src/persimmonsail/decisions/quotas.py
@@ -71,7 +71,7 @@
         if charge is not None:
             self._add(charge, -1)
 
-    def keep_only(self, tasks: t.Container[str]) -> None:
+    def retain_only(self, tasks: t.Container[str]) -> None:
         """Release all charges except those of the given tasks."""
         for task in list(self._charges):
             if task not in tasks:
--- a/src/persimmonsail/jobs/crashes.py
+++ b/src/persimmonsail/jobs/crashes.py
@@ -64,7 +64,7 @@
     """A crash that was counted for a task and may be excused later."""
 
     task: job_module.Task
-    is_proof: bool
+    is_conclusive: bool
     # Whether no run of another job began there after this task.
     began_last: bool
 
@@ -120,11 +120,11 @@
     ) -> None:
         """Record a crash, before the runs that it ended are marked as lost."""
         at = now - crash.ago_seconds
-        shortest_seconds = min(
+        min_run_seconds = min(
             (run.seconds for run in crash.runs), default=math.inf
         )
         group = self._find_group(
-            instance.address, at, at - shortest_seconds, now
+            instance.address, at, at - min_run_seconds, now
         )
         group.addresses.add(instance.address)
         suspects = self._list_suspects(crash)
@@ -170,11 +170,11 @@
         proven = _find_most_frequent(suspects, crash) if few_recent else set()
         for task, run in suspects:
             alone = task.is_suspect and _is_alone(task, run, crash)
-            is_proof = as_evidence and (alone or task.name in proven)
+            is_conclusive = as_evidence and (alone or task.name in proven)
             began_last = _began_last(task, run, crash)
-            self._count(task, run, is_proof, few_recent or began_last)
+            self._count(task, run, is_conclusive, few_recent or began_last)
             group.counted_crashes.append(
-                _CountedCrash(task, is_proof, began_last)
+                _CountedCrash(task, is_conclusive, began_last)
             )
             wait = suspects_module.choose_wait(task, run.seconds)
             task.not_before = max(task.not_before, now + wait)
@@ -222,7 +222,7 @@
         self,
         task: job_module.Task,
         run: fleet_pb2.CrashedRun,
-        is_proof: bool,
+        is_conclusive: bool,
         likely: bool,
     ) -> None:
         """Count a crash for one of the tasks that may have caused it."""
@@ -232,7 +232,7 @@
             count=before.count + 1,
             longest_ms=max(before.longest_ms, run_ms),
             run=run.run,
-            proofs=before.proofs + is_proof,
+            proofs=before.proofs + is_conclusive,
             beside=not before.total and not (likely and _is_recent(run)),
         )
         self._board.update_crashes(task, crashes)
@@ -288,7 +288,7 @@
             likely = counted.began_last or crashes.total > 1
             rolled_back = crashes._replace(
                 count=crashes.count - 1,
-                proofs=crashes.proofs - counted.is_proof,
+                proofs=crashes.proofs - counted.is_conclusive,
                 excused=crashes.excused + 1,
                 beside=not (recent and likely),
             )
--- a/src/persimmonsail/jobs/interference.py
+++ b/src/persimmonsail/jobs/interference.py
@@ -98,7 +98,7 @@
         self._tokens = _MAX_TOKENS
         self._read_at = 0.0
 
-    def take(self, now: float) -> bool:
+    def acquire(self, now: float) -> bool:
         """Consume one token and return whether there was one."""
         elapsed = max(now - self._read_at, 0.0)
         self._tokens += elapsed * _COMPARISONS_PER_SECOND
@@ -289,7 +289,7 @@
             gap_seconds = sample.read_at - other.read_at
             if gap_seconds > _MAX_GAP_SECONDS:
                 return
-            if not self._token_buckets[image].take(sample.read_at):
+            if not self._token_buckets[image].acquire(sample.read_at):
                 return
             load_variance = (_SLOPE_ERROR * slope * gap_seconds) ** 2
             self._learn_difference(fit, sample, other, slope, load_variance)
--- a/src/persimmonsail/jobs/suspects.py
+++ b/src/persimmonsail/jobs/suspects.py
@@ -143,16 +143,16 @@
 
 def _find_isolation_seconds(task: job_module.Task) -> float:
     """Return how long no other run is started beside a suspect."""
-    longest_seconds = max(
+    max_run_seconds = max(
         _MIN_ISOLATION_SECONDS, _estimate_trial_seconds(task)
     )
-    return min(longest_seconds, _MAX_ISOLATION_SECONDS)
+    return min(max_run_seconds, _MAX_ISOLATION_SECONDS)
 
 
 def _estimate_trial_seconds(task: job_module.Task) -> float:
     """Return the time within which a suspect's next crash is expected."""
-    longest_seconds = task.state.crashes.longest_ms / _MILLISECONDS
-    return 2 * longest_seconds + RECENT_START_SECONDS
+    max_run_seconds = task.state.crashes.longest_ms / _MILLISECONDS
+    return 2 * max_run_seconds + RECENT_START_SECONDS
 
 
 def may_reserve(usable: int, reserved: int) -> bool:
--- a/src/persimmonsail/partitioning/dispatch.py
+++ b/src/persimmonsail/partitioning/dispatch.py
@@ -119,7 +119,7 @@
                 available = task.id not in self._context.task_locks
                 if available and not task.cancel_asked:
                     pending.append(task)
-        self._planner.accounts.keep_only(charged)
+        self._planner.accounts.retain_only(charged)
         position = self._context.ledger.position
         self._idle_position = None if has_pending else position
         return pending
