--- a/tests/instances.py
+++ b/tests/instances.py
@@ -1,4 +1,4 @@
-"""An instance in one process: worker, sidecar's supervisor, links."""
+"""An in-process instance: worker, sidecar's supervisor, links."""
 
 import contextlib
 import typing as t
@@ -17,8 +17,8 @@
 LEASE = 6.0
 
 
-class HeldTransport(httpx.ASGITransport):
-    """Delivers requests to the worker; one path's can be held back."""
+class BlockingTransport(httpx.ASGITransport):
+    """Delivers requests to the worker; blocks the next one to ``held``."""
 
     def __init__(self, app) -> None:
         super().__init__(app=app)
@@ -38,15 +38,15 @@
 class Instance:
     """A worker's process and one sidecar; ``server`` is the worker.
 
-    The worker's own clock does not tick: its tasks end only when a test
-    says so.
+    The worker's own clock does not advance: its tasks end only when a
+    test ends them.
     """
 
     def __init__(self, server: worker_module.WorkerServer | None = None):
         self.server = server or worker_module.WorkerServer(64, 250, 0)
         self.own = instance_module.OwnInstance()
         self.worker = workers.Worker('127.0.0.1:1', 1.0)
-        self.transport = HeldTransport(self.server.app)
+        self.transport = BlockingTransport(self.server.app)
         self.worker._client = httpx.AsyncClient(
             base_url='http://worker', transport=self.transport
         )
@@ -54,25 +54,25 @@
         self.reachable = True
 
     async def open(self) -> 'Instance':
-        """Take the worker over."""
+        """Let the supervisor take over the worker's tasks."""
         await self.supervisor.rebuild()
         return self
 
     def replace_worker(self) -> None:
-        """Put a new process in the worker's place, as after a kill."""
+        """Replace the worker with a new process, as after a kill."""
         self.server = worker_module.WorkerServer(64, 250, 0)
         self.transport.app = self.server.app
 
     def cut_worker(self) -> None:
-        """Let the worker answer nothing from now on."""
+        """Make every later request to the worker fail."""
 
-        async def fail(scope, receive, send):
-            raise httpx.ConnectError('cut')
+        async def refuse(scope, receive, send):
+            raise httpx.ConnectError('the worker is disconnected')
 
-        self.transport.app = fail
+        self.transport.app = refuse
 
     def make_start(self, task: str, **changes: t.Any):
-        """Return a start that would be granted, with changes."""
+        """Return a start request that would be granted, with changes."""
         fields = {
             'task': task,
             'attempt': 1,
@@ -104,7 +104,7 @@
         return control_pb2.RenewRequest(**{**fields, **changes})
 
     def read_clock(self) -> float:
-        """Return the sidecar's clock, as a ticket does."""
+        """Return the sidecar's clock, which tickets carry."""
         return supervisor_module.time.monotonic()
 
     def find_run(self, task: str) -> worker_module.Run:
@@ -112,10 +112,10 @@
         return self.server._runs[task]
 
     def has_attempt(self, task: str, attempt: int) -> bool:
-        """Tell whether the worker has this attempt, not an earlier one.
+        """Return whether the worker has this attempt, not an earlier one.
 
-        An earlier one is forgotten once its end is acknowledged, before
-        the next one starts.
+        The worker deletes an earlier one once its end is acknowledged,
+        before the next one starts.
         """
         run = self.server._runs.get(task)
         return run is not None and run.attempt == attempt
@@ -124,8 +124,8 @@
 class Links:
     """Calls sidecars' supervisors and entries' promises directly.
 
-    With a task group, a call goes on at the sidecar when its caller is
-    killed, as between processes.
+    With a task group, a call continues at the sidecar when its caller
+    is killed, as between processes.
     """
 
     def __init__(self) -> None:
@@ -151,10 +151,10 @@
         with contextlib.suppress(TimeoutError), anyio.fail_after(timeout):
             if self.group is None:
                 return await calls[method](message)
-            return await self._call_apart(calls[method], message)
+            return await self._call_in_group(calls[method], message)
         raise exceptions.LinkLost(f'{method} {address}')
 
-    async def _call_apart(self, call, message):
+    async def _call_in_group(self, call, message):
         replies = []
         ended = anyio.Event()
 
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold, judged from the stand-ins' records alone."""
+"""Invariants, checked against the stand-ins' records alone."""
 
 import collections
 import typing as t
@@ -16,10 +16,10 @@
 
 
 def find_runs(records: t.Mapping[str, list[dict]]) -> list[dict]:
-    """Return each stretch in which a task ran, and how it ended.
+    """Return each interval in which a task ran, and how it ended.
 
-    A worker that is stopped like by SIGSTOP runs nothing meanwhile; what
-    goes on when it wakes is a stretch of its own.
+    A worker that is paused, as by SIGSTOP, runs nothing meanwhile; what
+    continues when it resumes is an interval of its own.
     """
     runs = []
     for instance, record in records.items():
@@ -34,12 +34,12 @@
     return sorted(runs, key=lambda run: run['start'])
 
 
-def _begin_run(instance: str, event: dict, before: dict | None) -> dict:
+def _begin_run(instance: str, event: dict, previous: dict | None) -> dict:
     return {
         'instance': instance,
         'task': event['task'],
         'attempt': event['attempt'],
-        'workload': before['workload'] if before else event['workload'],
+        'workload': previous['workload'] if previous else event['workload'],
         'start': event['at'],
         'end': float('inf'),
         'how': 'active',
@@ -54,32 +54,32 @@
 
 
 def check_single_place(runs: list[dict]) -> None:
-    """I2: no task is active in two places at once."""
-    for task, found in _by_task(runs).items():
-        for before, after in zip(found, found[1:], strict=False):
-            if after['start'] < before['end']:
-                raise Broken(f'I2: {task} in two places: {before} {after}')
+    """I2: no task is active twice at the same time."""
+    for task, found in _group_by_task(runs).items():
+        for earlier, later in zip(found, found[1:], strict=False):
+            if later['start'] < earlier['end']:
+                raise Broken(f'I2: {task} is active twice: {earlier} {later}')
 
 
 def check_resumed_once(runs: list[dict], builds: t.Collection[str]) -> None:
     """I3, I6: a build runs again only after an eviction."""
-    for task, found in _by_task(runs).items():
+    for task, found in _group_by_task(runs).items():
         if task not in builds:
             continue
-        for before, after in zip(found, found[1:], strict=False):
-            same = before['attempt'] == after['attempt']
-            if before['how'] != 'evicted' and not same:
-                raise Broken(f'I6: {task} ran again: {before} {after}')
+        for earlier, later in zip(found, found[1:], strict=False):
+            same_attempt = earlier['attempt'] == later['attempt']
+            if earlier['how'] != 'evicted' and not same_attempt:
+                raise Broken(f'I6: {task} ran again: {earlier} {later}')
 
 
 def check_not_run(names: t.Collection[str], ran: t.Collection[str]) -> None:
-    """I5: what was refused as not run is in no record."""
-    if wrong := set(names) & set(ran):
-        raise Broken(f'I5: not run, but ran: {sorted(wrong)}')
+    """I5: work that was refused as not run is in no record."""
+    if executed := set(names) & set(ran):
+        raise Broken(f'I5: refused as not run, but ran: {sorted(executed)}')
 
 
 def check_capacity(runs: list[dict], sizes: dict[str, float], cores: float):
-    """I1: no instance is committed beyond its processors."""
+    """I1: no instance has more cores committed than its capacity."""
     changes = collections.defaultdict(list)
     for run in runs:
         size = sizes[run['workload']]
@@ -87,14 +87,14 @@
         changes[run['instance']].append((run['end'], 0, -size))
     for instance, found in changes.items():
         total = 0.0
-        for when, _, size in sorted(found):
+        for at, _, size in sorted(found):
             total += size
             if total > cores:
-                raise Broken(f'I1: {instance} has {total} cores at {when}')
+                raise Broken(f'I1: {instance} commits {total} cores at {at}')
 
 
-def _by_task(runs: list[dict]) -> dict[str, list[dict]]:
-    found = collections.defaultdict(list)
+def _group_by_task(runs: list[dict]) -> dict[str, list[dict]]:
+    grouped = collections.defaultdict(list)
     for run in runs:
-        found[run['task']].append(run)
-    return found
+        grouped[run['task']].append(run)
+    return grouped
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -1,8 +1,8 @@
-"""What the stand-ins saw, against what the audit says of the logs.
+"""Compares the stand-ins' records with the audit's verdicts.
 
 The audit reads the system's own logs and ledger. Workers' and backend
 servers' records are independent of both, so a fault that the system
-does not log still shows.
+does not log is still found.
 """
 
 import collections
@@ -13,14 +13,14 @@
 from standins import deployment
 from tests import base
 
-# The evidence itself, I1 to I9, J1 to J3; a check that is left out shows
-# nothing.
-_CHECKS = 13
+# The evidence itself, I1 to I9, J1 to J3. Compared with the number of
+# verdicts, as a check that the audit leaves out would go unnoticed.
+_CHECK_COUNT = 13
 _ENDS = frozenset({'succeeded', 'failed', 'evicted', 'stopped'})
 
 
-class Oracle:
-    """Holds the records of one deployment's stand-ins."""
+class StandInRecords:
+    """The records of one deployment's stand-ins."""
 
     def __init__(
         self,
@@ -33,21 +33,21 @@
         self._backends = backends
 
     async def find_overlaps(self) -> list[str]:
-        """Return the tasks that any two workers ran at one time."""
+        """Return the tasks with two attempts that ran simultaneously."""
         spans: dict[str, list[tuple[float, float]]] = collections.defaultdict(
             list
         )
         for address in self._workers:
             open_spans: dict[tuple[str, int], float] = {}
-            for entry in await self._read(address):
-                key = (entry['task'], entry['attempt'])
-                if entry['event'] == 'started':
-                    open_spans[key] = entry['at']
-                elif entry['event'] in _ENDS and key in open_spans:
-                    begun = open_spans.pop(key)
-                    spans[entry['task']].append((begun, entry['at']))
-            for (task, _), begun in open_spans.items():
-                spans[task].append((begun, float('inf')))
+            for event in await self._read_record(address):
+                key = (event['task'], event['attempt'])
+                if event['event'] == 'started':
+                    open_spans[key] = event['at']
+                elif event['event'] in _ENDS and key in open_spans:
+                    start = open_spans.pop(key)
+                    spans[event['task']].append((start, event['at']))
+            for (task, _), start in open_spans.items():
+                spans[task].append((start, float('inf')))
         return sorted(
             task
             for task, found in spans.items()
@@ -58,13 +58,13 @@
         """Return how often backend servers ran each request."""
         return collections.Counter(
             [
-                entry['request']
+                event['request']
                 for address in self._backends
-                for entry in await self._read(address)
+                for event in await self._read_record(address)
             ]
         )
 
-    async def _read(self, address: str) -> list[dict]:
+    async def _read_record(self, address: str) -> list[dict]:
         answer = await self._running.client.get(f'http://{address}/record')
         return answer.json()
 
@@ -74,9 +74,9 @@
 
 
 async def find_violations(running: deployment.Deployment) -> list[str]:
-    """Return what the audit finds in logs of processes that still run.
+    """Return the audit's violations while the processes still run.
 
-    A store that is down or slow, as a test may leave it, is left out.
+    A test may leave the store down or slow; the audit then runs without.
     """
     files = [str(path) for path in running.evidence_files]
     code, output = await running.run_command(
@@ -95,27 +95,27 @@
     running: deployment.Deployment,
     workers: t.Sequence[str] = (),
     backends: t.Sequence[str] = (),
-    once: t.Iterable[str] = (),
+    at_most_once: t.Iterable[str] = (),
     refused: t.Iterable[str] = (),
     open_checks: t.Iterable[str] = (),
 ) -> dict[str, str]:
-    """Hold audit and stand-ins against each other; call it at the end.
+    """Check the audit and the stand-ins' records at the end of a test.
 
     Parameters
     ----------
     case : TestCase
-        The test, which fails if anything does not fit.
+        The test, which fails on any contradiction or missing verdict.
     running : Deployment
-        What has run; its system processes may be stopped or killed.
+        The deployment; its system processes may have ended.
     workers, backends : sequence of str
         The addresses of the stand-ins whose records count.
-    once : iterable of str
-        Requests that may have run once at the most.
+    at_most_once : iterable of str
+        Requests that may have run once at most.
     refused : iterable of str
-        Requests whose callers were told 'not run'.
+        Requests that were answered as not run.
     open_checks : iterable of str
-        Checks that this test's faults leave ``not-shown``; every other
-        one must be ``held``.
+        Checks that this test's faults may leave ``not-shown``; every
+        other one must be ``held``.
 
     Returns
     -------
@@ -131,12 +131,12 @@
     for check, verdict in verdicts.items():
         expected = allowed if check in set(open_checks) else {'held'}
         case.assertIn(verdict, expected, f'{check}: {output}')
-    case.assertEqual(_CHECKS, len(verdicts), output)
+    case.assertEqual(_CHECK_COUNT, len(verdicts), output)
     case.assertIn(code, (exits.OK, exits.EVIDENCE), output)
-    oracle = Oracle(running, workers, backends)
-    case.assertEqual([], await oracle.find_overlaps())
-    runs = await oracle.count_runs()
-    case.assertEqual([], [r for r in once if runs[r] > 1])
+    records = StandInRecords(running, workers, backends)
+    case.assertEqual([], await records.find_overlaps())
+    runs = await records.count_runs()
+    case.assertEqual([], [r for r in at_most_once if runs[r] > 1])
     case.assertEqual([], [r for r in refused if runs[r]])
     return verdicts
 
--- a/tests/recovery.py
+++ b/tests/recovery.py
@@ -1,4 +1,4 @@
-"""A small deployment for failure tests, and the workers' own record."""
+"""A small deployment for failure tests, and the workers' own records."""
 
 import collections
 import dataclasses
@@ -32,11 +32,11 @@
 cores = 0.25
 memory-gb = 0.5
 """
-LEASE = 1.2
-ENTRY = {
+TASK_LEASE_SECONDS = 1.2
+ENTRY_SETTINGS = {
     'partitions': 1,
     'partition-lease': 2.0,
-    'task-lease': LEASE,
+    'task-lease': TASK_LEASE_SECONDS,
     'commit-interval': 0.02,
     'drain': 2.0,
     'outage-limit': 30,
@@ -47,8 +47,8 @@
 class Interval:
     """When one attempt at a task ran, by the worker's clock.
 
-    A worker that was frozen sees the end late; nothing is done for the
-    task after the end of its lease, so that counts.
+    A frozen worker observes the end late, but does nothing for the task
+    once its lease has expired: the interval ends there at the latest.
     """
 
     worker: str
@@ -110,7 +110,7 @@
         """Start an entry."""
         options = {k.replace('_', '-'): v for k, v in entry.items()}
         process = await self.start_entry(
-            name, store=store, entry={**ENTRY, **options}
+            name, store=store, entry={**ENTRY_SETTINGS, **options}
         )
         if name not in self.entries:
             self.entries.append(name)
@@ -124,7 +124,7 @@
         await self.restart_sidecar(name, **process)
 
     async def restart_sidecar(self, name: str, **process: object) -> None:
-        """Start the sidecar of a worker, once more."""
+        """Start the sidecar of a worker, or a new one after a kill."""
         controls = [self.read_listening(e)['control'] for e in self.entries]
         await self.start_sidecar(
             name,
@@ -151,13 +151,13 @@
         await self.wait_any(self.entries, 'partition-opened')
         return max(self.entries, key=self._find_epoch)
 
-    async def wait_follower(self, holder: str) -> tuple[str, str]:
-        """Return who opens the next epoch after a holder, and which."""
-        before = self._find_epoch(holder)
+    async def wait_successor(self, holder: str) -> tuple[str, str]:
+        """Return the entry that opens the next epoch, and the epoch."""
+        previous = self._find_epoch(holder)
         with anyio.fail_after(deployment.START_SECONDS):
             while True:
                 name = max(self.entries, key=self._find_epoch)
-                if self._find_epoch(name) > before:
+                if self._find_epoch(name) > previous:
                     return name, str(self._find_epoch(name))
                 await self._wait_change()
 
@@ -193,8 +193,8 @@
                 if not process.ended:
                     group.start_soon(wait, process)
 
-    def other(self, name: str) -> str:
-        """Return an entry besides the named one."""
+    def find_other_entry(self, name: str) -> str:
+        """Return an entry other than the named one."""
         return next(e for e in self.entries if e != name)
 
     async def post(
@@ -212,7 +212,7 @@
     async def submit(
         self, entry: str, workload: str, key: str, seconds: float | None = None
     ) -> str:
-        """Submit a task until it is accepted, as a caller would."""
+        """Submit a task and retry until it is accepted."""
         with anyio.fail_after(deployment.START_SECONDS):
             while True:
                 answer = await self.post(entry, workload, key, seconds)
@@ -229,10 +229,10 @@
         return event['process'].removeprefix('worker-')
 
     async def wait_start(self, task: str, after: int = 0) -> Start:
-        """Return the latest attempt that runs or ran, of a later number.
+        """Return the latest started attempt with a number above ``after``.
 
-        A sidecar may refuse a start, or a late renewal end an attempt:
-        which number the one that runs has, depends on the machine.
+        A sidecar may refuse a start, and a late renewal may end an
+        attempt, so the running attempt's number depends on the machine.
         """
         with anyio.fail_after(deployment.START_SECONDS):
             while True:
@@ -253,7 +253,7 @@
                 await self._wait_change()
 
     async def read_final(self, entry: str, task: str) -> dict:
-        """Return a task's final state, asking until there is one."""
+        """Poll a task until its state is final and return that."""
         http = self.read_listening(entry)['http']
         with anyio.fail_after(deployment.START_SECONDS):
             while True:
@@ -265,33 +265,33 @@
                     return body
 
     async def kill(self, name: str) -> None:
-        """End a process with SIGKILL."""
+        """Kill a process with SIGKILL."""
         await self.processes[name].stop(signal.SIGKILL)
 
     async def kill_worker(self, name: str) -> None:
-        """End a worker; its tasks end with it."""
+        """Kill a worker; its tasks end with it."""
         await self.kill(f'worker-{name}')
 
     def freeze(self, name: str) -> None:
-        """Stop a process without its notice."""
-        self._note(name, 'frozen')
+        """Pause a process with SIGSTOP."""
+        self._log_action(name, 'frozen')
         self.processes[name].send_signal(signal.SIGSTOP)
 
-    def wake(self, name: str) -> None:
-        """Let a frozen process go on."""
-        self._note(name, 'woken')
+    def resume(self, name: str) -> None:
+        """Resume a frozen process."""
+        self._log_action(name, 'woken')
         self.processes[name].send_signal(signal.SIGCONT)
 
-    def _note(self, name: str, event: str) -> None:
-        """Write down beside the logs when something was done to a process.
+    def _log_action(self, name: str, event: str) -> None:
+        """Log, in a separate file, when the test acted on a process.
 
-        By this time and those of the process's own lines, what it did before
-        is told from what it did after, whenever the line was read.
+        Its time separates the lines that the process wrote before the action
+        from those that it wrote after, regardless of when they were read.
         """
-        opened = self._find_epoch(name)
+        epoch = self._find_epoch(name)
         line = (
             f'time={time.time():.6f} level=warning process=test '
-            f'event={event} name={name} epoch_read={opened}\n'
+            f'event={event} name={name} epoch_read={epoch}\n'
         )
         with (self.directory / 'test.log').open('a') as log:
             log.write(line)
@@ -299,8 +299,9 @@
     async def read_intervals(self) -> dict[str, list[Interval]]:
         """Return when each task ran, from the workers' own records.
 
-        A worker that lives is asked; of one that was killed, the record
-        is its log. What it ran has ended by the next process's start.
+        A live worker is asked; a killed worker's record is its log. Its
+        attempts have ended by the start of its replacement, whose record
+        omits them.
         """
         found: dict[str, list[Interval]] = collections.defaultdict(list)
         for name, address in self.workers.items():
@@ -310,7 +311,7 @@
                 events = answer.json()
             else:
                 events = _read_logged(process)
-            for task, interval in _pair(name, events):
+            for task, interval in _pair_events(name, events):
                 found[task].append(interval)
         return {
             task: sorted(runs, key=lambda run: run.start)
@@ -326,14 +327,14 @@
                     return
                 await self._wait_change()
 
-    async def find_doubled(self) -> list[tuple[Interval, Interval]]:
-        """Return attempts at one task that ran at the same time."""
+    async def find_overlaps(self) -> list[tuple[Interval, Interval]]:
+        """Return pairs of attempts at one task that ran simultaneously."""
         intervals = await self.read_intervals()
         return [
             (first, second)
             for runs in intervals.values()
-            for number, first in enumerate(runs)
-            for second in runs[number + 1 :]
+            for index, first in enumerate(runs)
+            for second in runs[index + 1 :]
             if second.start < first.end
         ]
 
@@ -352,7 +353,7 @@
     ]
 
 
-def _pair(worker: str, events: list[dict]) -> t.Iterator[tuple]:
+def _pair_events(worker: str, events: list[dict]) -> t.Iterator[tuple]:
     open_events: dict[tuple[str, int], dict] = {}
     for event in events:
         key = (event['task'], event['attempt'])
--- a/tests/test_limits_processes.py
+++ b/tests/test_limits_processes.py
@@ -35,16 +35,16 @@
 cores = 8
 memory-gb = 16
 """
-TASK_LEASE = 2.0
+TASK_LEASE_SECONDS = 2.0
 
 
-class Case(base.TestCase):
+class LimitsCase(base.TestCase):
     async def start(
         self, running: deployment.Deployment, instances: int
     ) -> deployment.Process:
         await running.start_store()
         entry = await running.start_entry(
-            'entry-1', entry={'task-lease': TASK_LEASE}
+            'entry-1', entry={'task-lease': TASK_LEASE_SECONDS}
         )
         listening = entry.find('listening')[0]
         self.url = f'http://{listening["http"]}/v1'
@@ -82,12 +82,12 @@
 
 
 @pytest.mark.processes
-class BadWorkerTest(Case):
-    async def test_a_bad_instance_gets_three_tasks_of_a_wave(self):
-        """A wave of builds is swallowed by one broken instance.
+class FailingWorkerTest(LimitsCase):
+    async def test_failing_instance_gets_three_tasks_of_a_burst(self):
+        """One failing instance receives every build of a burst.
 
-        It fails each build at once, so it always has the most room; in
-        order of room alone it would get every next build.
+        It fails each build immediately, so it always has the most free
+        capacity; by free capacity alone it would get every next build.
         """
         async with deployment.Deployment(self.make_directory()) as running:
             entry = await self.start(running, 3)
@@ -105,17 +105,19 @@
                 f'http://{self.workers[1]}/record'
             )
             started = [r for r in record.json() if r['event'] == 'started']
-            placed = entry.find('placement', chosen='instance-1', canary='yes')
-            self.assertLessEqual(len(started) - len(placed), 3)
+            canaries = entry.find(
+                'placement', chosen='instance-1', canary='yes'
+            )
+            self.assertLessEqual(len(started) - len(canaries), 3)
 
 
 @pytest.mark.processes
-class IntakeTest(Case):
-    async def test_a_full_queue_and_an_impossible_task_are_final(self):
-        """A caller waits for ever for a build that can't come.
+class IntakeTest(LimitsCase):
+    async def test_full_queue_and_oversized_task_are_rejected(self):
+        """A caller waits forever for a build that cannot start.
 
-        Its team's queue is full, or no instance has the room; the task
-        is accepted all the same and never starts.
+        Its team's queue is full, or no instance has the capacity, but
+        the task is accepted and never starts.
         """
         async with deployment.Deployment(self.make_directory()) as running:
             entry = await self.start(running, 1)
@@ -131,8 +133,8 @@
             self.assertEqual('not-run', huge.json()['work'])
 
             first = await self.submit(running, 'slow', {})
-            placed = first.json()['task']
-            await entry.wait_event('placement', task=placed)
+            placed_task = first.json()['task']
+            await entry.wait_event('placement', task=placed_task)
             for _ in range(3):
                 answer = await self.submit(running, 'slow', {})
                 self.assertEqual(202, answer.status_code)
@@ -141,4 +143,4 @@
             self.assertEqual('not-run', refused.json()['work'])
             self.assertGreater(refused.json()['retry_after_seconds'], 0)
             waiting = await entry.wait_event('waiting', reason='quota')
-            self.assertNotEqual(placed, waiting['task'])
+            self.assertNotEqual(placed_task, waiting['task'])
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.processes
-class PathTest(base.TestCase):
-    async def test_all_workloads_pass_through_the_processes(self):
+class EndToEndTest(base.TestCase):
+    async def test_every_workload_class_end_to_end(self):
         async with deployment.Deployment(self.make_directory()) as running:
             await running.start_store()
             entry = await running.start_entry('entry-1')
--- a/tests/test_recovery_instances.py
+++ b/tests/test_recovery_instances.py
@@ -1,4 +1,4 @@
-"""Failures of sidecars and workers, held against the workers' records."""
+"""Failures of sidecars and workers, checked against workers' records."""
 
 import itertools
 import json
@@ -12,11 +12,11 @@
 @pytest.mark.processes
 class SidecarFailureTest(base.TestCase):
     async def test_frozen_sidecar_wakes_after_the_watcher_moved(self):
-        """A watcher runs twice, and a build starts over.
+        """A watcher runs twice, and a build loses its progress.
 
-        The sidecar is frozen past the leases; its worker evicts both by
-        itself. The watcher is started elsewhere; the build must wait
-        for its checkpoint and resume once when the sidecar wakes.
+        The sidecar is frozen until the leases have expired, so its worker
+        evicts both. The watcher is started elsewhere; the build must wait
+        for its checkpoint and resume once when the sidecar resumes.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, workers=1)
@@ -35,9 +35,9 @@
             if moved.instance == 'w0':
                 moved = await cluster.wait_start(watcher, moved.attempt)
             self.assertEqual('w9', moved.instance)
-            cluster.wake('w0')
+            cluster.resume('w0')
             await cluster.wait_start(build, frozen.attempt)
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             runs = (await cluster.read_intervals())[build]
             self.assertGreaterEqual(len(runs), 2)
             for earlier, later in itertools.pairwise(runs):
@@ -48,8 +48,8 @@
     async def test_restarted_sidecar_takes_its_tasks_over(self):
         """A watcher is started twice after its sidecar's restart.
 
-        The sidecar is killed and started again; the new one finds what
-        runs at the worker, and the holder goes on with it.
+        The sidecar is killed and restarted; the new one finds the running
+        tasks at the worker, and the holder continues to renew them.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, workers=1, task_lease=8)
@@ -71,11 +71,11 @@
 @pytest.mark.processes
 class WorkerFailureTest(base.TestCase):
     async def test_frozen_worker_wakes_after_the_watcher_moved(self):
-        """A watcher runs twice after its worker's pause.
+        """A watcher runs twice after its worker was paused.
 
         The worker is frozen past its lease with renewals queued in its
-        sockets; the watcher is started elsewhere; on waking the worker
-        must not serve an old renewal before it looks at its leases.
+        sockets, and the watcher is started elsewhere. On resuming, the
+        worker must check its leases before it serves a queued renewal.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1)
@@ -85,17 +85,17 @@
             cluster.freeze(f'worker-{first}')
             second = await cluster.wait_running(watcher, 2)
             self.assertNotEqual(first, second)
-            cluster.wake(f'worker-{first}')
+            cluster.resume(f'worker-{first}')
             worker = cluster.processes[f'worker-{first}']
             await worker.wait_event('worker-evicted', task=watcher)
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
 
     async def test_restarted_worker_leaves_a_build_unknown(self):
         """A build runs twice, with conflicting pin maps.
 
-        The worker takes a checkpoint, dies before it was reported, and
-        comes back knowing nothing. The build may have run: its final
-        outcome is unknown, at once. The watcher starts again.
+        The worker takes a checkpoint, is killed before it is reported,
+        and restarts without state. The build may have run, so its final
+        outcome is unknown, without delay. The watcher starts again.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, workers=1, task_lease=4)
@@ -111,7 +111,7 @@
             answer.raise_for_status()
             await cluster.kill_worker('w0')
             await cluster.restart_worker('w0')
-            cluster.wake('w0')
+            cluster.resume('w0')
             final = await cluster.read_final(entry, build)
             self.assertEqual('unknown', final['phase'])
             self.assertEqual('the worker was restarted', final['reason'])
@@ -119,10 +119,10 @@
             self.assertNotIn(build, await cluster.read_intervals())
 
     async def test_evicted_build_resumes_once(self):
-        """An evicted build starts over, or twice.
+        """An evicted build loses its progress, or runs twice.
 
         The worker evicts it with a checkpoint; the ledger releases it
-        once, and the next attempt resumes from there.
+        once, and the next attempt resumes from the checkpoint.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, workers=1, task_lease=8)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -1,4 +1,4 @@
-"""Failures of holders, held against the workers' own records."""
+"""Failures of holders, checked against the workers' own records."""
 
 import anyio
 import pytest
@@ -12,24 +12,24 @@
     async def test_killed_holder_is_followed_without_a_restart(self):
         """A watcher stops and a build is lost with their entry.
 
-        The holder is killed after it has started both; another entry
-        takes the partition over under its lease's end, and must extend
-        the tasks' leases before they are over, and start nothing anew.
+        The holder is killed after it has started both. Another entry
+        acquires the partition once its lease has expired; it must extend
+        the tasks' leases before they expire, and restart neither.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(task_lease=8)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             watcher = await cluster.submit(other, 'watcher', 'w')
             build = await cluster.submit(other, 'build', 'b', 4)
             await cluster.wait_running(watcher)
             await cluster.wait_running(build)
             await cluster.kill(holder)
-            follower, _ = await cluster.wait_follower(holder)
-            self.assertEqual(other, follower)
+            successor, _ = await cluster.wait_successor(holder)
+            self.assertEqual(other, successor)
             final = await cluster.read_final(other, build)
             self.assertEqual('succeeded', final['phase'])
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             intervals = await cluster.read_intervals()
             self.assertEqual(1, len(intervals[build]))
             self.assertEqual(
@@ -39,68 +39,68 @@
     async def test_frozen_holder_wakes_after_its_follower(self):
         """A bid watcher runs twice, and a buyer gets two confirmations.
 
-        Its holder is frozen past every lease, another entry takes the
-        partition, the watcher's instance is out of reach, it is started
-        elsewhere, and the frozen holder wakes and renews the first.
+        Its holder is frozen past every lease and another entry acquires
+        the partition. The watcher's instance is unreachable, so it is
+        started elsewhere; the frozen holder resumes and renews the first.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(task_lease=2)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             watcher = await cluster.submit(other, 'watcher', 'w')
             await cluster.wait_running(watcher)
             cluster.freeze(holder)
-            follower, epoch = await cluster.wait_follower(holder)
-            self.assertEqual(other, follower)
-            following = cluster.processes[other]
-            await following.wait_event('members-listed', epoch=epoch)
-            cluster.wake(holder)
+            successor, epoch = await cluster.wait_successor(holder)
+            self.assertEqual(other, successor)
+            successor_process = cluster.processes[other]
+            await successor_process.wait_event('members-listed', epoch=epoch)
+            cluster.resume(holder)
             await cluster.processes[holder].wait_event('partition-lost')
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             intervals = await cluster.read_intervals()
             self.assertEqual('active', intervals[watcher][-1].reason)
 
     async def test_leaving_holder_hands_over_while_callers_wait(self):
-        """A caller's question is cut off when its entry is replaced.
+        """A caller's read is interrupted when its entry is replaced.
 
         The caller waits at one entry for a build that another entry
-        holds; that one gets SIGTERM. The answer must come, and a task
-        submitted meanwhile must be accepted.
+        holds; that one gets SIGTERM. The read must be answered, and a
+        task that is submitted meanwhile must be accepted.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(partition_lease=20, task_lease=8)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             build = await cluster.submit(other, 'build', 'b', 3)
             await cluster.wait_running(build)
             finals = []
 
-            async def ask():
+            async def wait_final():
                 finals.append(await cluster.read_final(other, build))
 
             async with anyio.create_task_group() as group:
-                group.start_soon(ask)
+                group.start_soon(wait_final)
                 code = await cluster.processes[holder].stop()
                 self.assertEqual(0, code)
-                # The lease is long: only its release lets go so soon.
-                follower, epoch = await cluster.wait_follower(holder)
-                self.assertEqual(other, follower)
+                # The lease is long: only a release hands over this soon.
+                successor, epoch = await cluster.wait_successor(holder)
+                self.assertEqual(other, successor)
                 await cluster.submit(other, 'watcher', 'w')
             self.assertEqual('succeeded', finals[0]['phase'])
             intervals = await cluster.read_intervals()
             self.assertEqual(1, len(intervals[build]))
 
     async def test_key_sent_again_after_a_kill_runs_once(self):
-        """A build runs twice after its caller tried again.
+        """A build runs twice after its caller retried.
 
-        The holder is killed while the store is slow, so that its
-        acceptance is committed or not, and unanswered; the caller sends
-        the same key to the other entry.
+        The holder is killed while the store is slow: the acceptance is
+        unanswered, and may be committed or not. The caller sends the
+        same key to the other entry.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(task_lease=8)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             await cluster.set_faults(cluster.store, delay=0.3)
             async with anyio.create_task_group() as group:
                 group.start_soon(cluster.submit, other, 'build', 'b', 0.5)
@@ -121,37 +121,37 @@
         """A build runs twice.
 
         The holder is frozen just as the store begins to lose answers;
-        its follower's own takeover is among the unanswered writes; then
-        the holder wakes with a commit of its own under way.
+        its successor's takeover is among the unanswered writes. Then the
+        holder resumes with a commit of its own in flight.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(task_lease=4)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             watcher = await cluster.submit(other, 'watcher', 'w')
             build = await cluster.submit(other, 'build', 'b', 3)
             await cluster.wait_running(watcher)
             await cluster.wait_running(build)
             cluster.freeze(holder)
             await cluster.set_faults(cluster.store, lose_answers=8)
-            follower, epoch = await cluster.wait_follower(holder)
-            self.assertEqual(other, follower)
+            successor, epoch = await cluster.wait_successor(holder)
+            self.assertEqual(other, successor)
             late = await cluster.submit(other, 'build', 'late', 0.2)
-            cluster.wake(holder)
+            cluster.resume(holder)
             await cluster.processes[holder].wait_event('partition-lost')
             for task in (build, late):
                 final = await cluster.read_final(other, task)
                 self.assertEqual('succeeded', final['phase'])
             await cluster.wait_active(watcher)
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             intervals = await cluster.read_intervals()
             self.assertEqual(1, len(intervals[late]))
 
     async def test_killed_sidecar_while_the_store_is_slow(self):
         """A build runs twice, or is lost.
 
-        The store answers late when the sidecar dies with a build, and
-        its follower finds the build at the worker.
+        The store is slow when the sidecar of a build is killed, and the
+        restarted sidecar finds the build at the worker.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, workers=1, partition_lease=6)
@@ -164,7 +164,7 @@
             final = await cluster.read_final(entry, build)
             self.assertEqual('succeeded', final['phase'])
             runs = (await cluster.read_intervals())[build]
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             self.assertEqual('succeeded', runs[-1].reason)
             for run in runs[1:]:
                 self.assertNotEqual('', run.resumed)
--- a/tests/test_recovery_store.py
+++ b/tests/test_recovery_store.py
@@ -1,4 +1,4 @@
-"""Failures of the store, held against the workers' own records."""
+"""Failures of the store, checked against the workers' own records."""
 
 import anyio
 import pytest
@@ -13,10 +13,10 @@
         """Every watcher stops when the store is down for a while.
 
         The outage outlasts the holder's lease and the tasks' leases;
-        all entries are cut off alike and consent. New tasks are refused
-        as not run; a build that ends meanwhile has its outcome later.
-        It runs beside the watcher, whose lease must be extended while
-        the build's outcome waits for the store.
+        all entries lose the store and consent. New tasks are refused as
+        not run; a build that ends meanwhile gets its outcome later. It is
+        colocated with the watcher, whose lease must be extended while the
+        build's outcome waits for the store.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(workers=1, task_lease=6)
@@ -34,11 +34,11 @@
             self.assertEqual(503, refused.status_code)
             self.assertEqual('not-run', refused.json()['work'])
             self.assertIn('retry-after', refused.headers)
-            running = await cluster.wait_running(build)
-            await cluster.processes[f'worker-{running}'].wait_event(
+            instance = await cluster.wait_running(build)
+            await cluster.processes[f'worker-{instance}'].wait_event(
                 'worker-succeeded', task=build
             )
-            # Asked four times in a lease: longer than every lease.
+            # Requested four times a lease, so this outlasts every lease.
             await process.wait_event('consent', granted='yes', count=6)
             await cluster.set_faults(cluster.store)
             final = await cluster.read_final(holder, build)
@@ -53,8 +53,8 @@
     async def test_cut_off_holder_gets_no_consent(self):
         """A watcher runs twice when its holder alone loses the store.
 
-        The others reach the store and take the partition: they must not
-        consent, and the holder must not go on.
+        The others reach the store and acquire the partition: they must
+        not consent, and the holder must not continue.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.start_store()
@@ -70,26 +70,26 @@
             await cluster.add_instance('w1')
             await cluster.apply_catalogue(recovery.CATALOGUE)
             holder = await cluster.wait_holder()
-            other = cluster.other(holder)
+            other = cluster.find_other_entry(holder)
             await cluster.wait_members(2)
             watcher = await cluster.submit(holder, 'watcher', 'w')
             await cluster.wait_running(watcher)
             await cluster.set_faults(proxies[holder], mode='cut')
             await cluster.processes[holder].wait_event('consent', granted='no')
-            follower, epoch = await cluster.wait_follower(holder)
-            self.assertEqual(other, follower)
+            successor, epoch = await cluster.wait_successor(holder)
+            self.assertEqual(other, successor)
             await cluster.processes[other].wait_event(
                 'members-listed', epoch=epoch
             )
-            self.assertEqual([], await cluster.find_doubled())
+            self.assertEqual([], await cluster.find_overlaps())
             intervals = await cluster.read_intervals()
             self.assertEqual('active', intervals[watcher][-1].reason)
 
     async def test_lost_answers_double_nothing(self):
         """A build runs twice, or is refused although accepted.
 
-        The store loses the answers to writes that took effect, again
-        and again, under a wave of builds and cancellations.
+        The store repeatedly loses the answers to writes that took
+        effect, during a burst of builds.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1, task_lease=8)
@@ -112,7 +112,7 @@
         """One key's build runs in two ledgers.
 
         An entry whose settings have another number of partitions looks
-        for the key elsewhere; it must not serve at all.
+        the key up in another ledger, so it must not serve at all.
         """
         async with recovery.Cluster(self.make_directory()) as cluster:
             await cluster.open(entries=1)
--- a/tests/views.py
+++ b/tests/views.py
@@ -1,4 +1,4 @@
-"""Instances and samples as an entry might see them."""
+"""Instances and samples as an entry may observe them."""
 
 import random
 
@@ -8,8 +8,8 @@
 
 
 def make_instance(name, **fields):
-    """Return an idle instance, but for the given fields."""
-    known = {
+    """Return an idle instance, with the given fields changed."""
+    values = {
         'zone': 'a',
         'rack': 'r1',
         'incarnation': '1',
@@ -26,11 +26,11 @@
         'reported_at': 0.0,
         **fields,
     }
-    return fleet.Instance(name=name, **known)
+    return fleet.Instance(name=name, **values)
 
 
 def make_estimator():
-    """Return an estimate that has learnt nothing yet."""
+    """Return an estimator without learned state."""
     return interference.Estimator()
 
 
@@ -40,7 +40,7 @@
 
 
 def teach(estimator, coefficients, base_seconds, count=200, begin=0.0, seed=1):
-    """Show samples of a linear truth with noise, one each second."""
+    """Train on samples of a linear model with noise, one a second."""
     generator = random.Random(seed)
     for second in range(count):
         shares = {
