--- a/tools/bench/__init__.py
+++ b/tools/bench/__init__.py
@@ -1,5 +1,5 @@
-"""The measuring bench: decision code against small fakes of workers.
+"""A benchmark of the package's decision code against fake workers.
 
-Not a cluster simulator: a virtual clock, fakes of the workers at their
-interface, and the package's own decision code in between.
+It is no cluster simulator: the package's own decision code runs on a
+virtual clock, with fakes at the workers' interface.
 """
--- a/tools/bench/cancelling.py
+++ b/tools/bench/cancellation.py
@@ -1,7 +1,7 @@
-"""A wave of cancellations at a real holder over a store in memory.
+"""A burst of cancellations at a real holder with an in-memory store.
 
-It runs in real time, unlike the other scenarios; its latencies are the
-cancellations' answers.
+Unlike the other scenarios, it runs in real time; latencies are those of
+the cancel calls.
 """
 
 import time
@@ -23,10 +23,10 @@
 from standins import memory
 from tools.bench import results
 
-WAVE = 1000
-_STORE_SECONDS = 0.005
-_GIVE_UP_SECONDS = 20.0
-_POLL_SECONDS = 0.02
+TASK_COUNT = 1000
+_STORE_DELAY_SECONDS = 0.005
+_TIMEOUT_SECONDS = 20.0
+_POLL_INTERVAL_SECONDS = 0.02
 _SETTINGS = """\
 [process]
 name = entry
@@ -50,8 +50,8 @@
 """
 
 
-class Wave:
-    """One holder with a thousand waiting tasks, all cancelled at once."""
+class CancellationBurst:
+    """A thousand pending tasks of one holder, cancelled concurrently."""
 
     def __init__(self) -> None:
         self.store = memory.MemoryStore()
@@ -70,15 +70,15 @@
         )
 
     async def execute(self, coalesced: bool) -> results.Run:
-        """Submit, cancel and count."""
+        """Submit and cancel all tasks and return the measurements."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._holder.run)
             while not self._holder.ready:  # noqa: ASYNC110
-                await anyio.sleep(_POLL_SECONDS)
-            async with anyio.create_task_group() as submits:
-                for number in range(WAVE):
-                    submits.start_soon(self._submit, f'{number:04d}')
-            self.store.faults.delay = _STORE_SECONDS
+                await anyio.sleep(_POLL_INTERVAL_SECONDS)
+            async with anyio.create_task_group() as submissions:
+                for number in range(TASK_COUNT):
+                    submissions.start_soon(self._submit, f'{number:04d}')
+            self.store.faults.delay = _STORE_DELAY_SECONDS
             if not coalesced:
                 commits.MAX_BATCH_BYTES = 0
             before = self.store.calls.write
@@ -98,12 +98,12 @@
         )
 
     async def _cancel_all(self) -> None:
-        with anyio.move_on_after(_GIVE_UP_SECONDS):
+        with anyio.move_on_after(_TIMEOUT_SECONDS):
             async with anyio.create_task_group() as group:
                 for task in list(self._holder.table.tasks):
                     group.start_soon(self._cancel, task)
-            while self._count_ended() < WAVE:  # noqa: ASYNC110
-                await anyio.sleep(_POLL_SECONDS)
+            while self._count_ended() < TASK_COUNT:  # noqa: ASYNC110
+                await anyio.sleep(_POLL_INTERVAL_SECONDS)
         self.run.extras['cancelled'] = self._count_ended()
 
     async def _cancel(self, task: str) -> None:
@@ -123,9 +123,9 @@
 
 
 def run_policy(coalesced: bool) -> results.Run:
-    """Run one wave; the process it runs in is not used again."""
+    """Run one burst; restores the commit size limit afterwards."""
     batch = commits.MAX_BATCH_BYTES
     try:
-        return anyio.run(Wave().execute, coalesced)
+        return anyio.run(CancellationBurst().execute, coalesced)
     finally:
         commits.MAX_BATCH_BYTES = batch
--- a/tools/bench/clock.py
+++ b/tools/bench/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock with a queue of actions."""
+"""A virtual clock with an event queue."""
 
 import heapq
 import itertools
@@ -6,28 +6,28 @@
 
 
 class EventQueue:
-    """Runs actions in the order of their times; seconds throughout."""
+    """Runs actions in order of time, then of scheduling, in seconds."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._queue: list[tuple[float, int, t.Callable, tuple]] = []
 
     def read(self) -> float:
-        """Return the time; inject this where code asks for a clock."""
+        """Return the virtual time; pass this method as a clock."""
         return self.now
 
     def call_later(
         self, delay: float, action: t.Callable, *args: t.Any
     ) -> None:
-        """Run an action after a delay."""
-        entry = (self.now + delay, next(self._order), action, args)
+        """Schedule an action after a delay."""
+        entry = (self.now + delay, next(self._sequence), action, args)
         heapq.heappush(self._queue, entry)
 
     def call_every(
         self, period: float, action: t.Callable, *args: t.Any
     ) -> None:
-        """Run an action again and again, first after one period."""
+        """Schedule an action periodically, first after one period."""
 
         def repeat() -> None:
             action(*args)
@@ -36,7 +36,7 @@
         self.call_later(period, repeat)
 
     def run(self, until: float) -> None:
-        """Run all actions that are due before a time."""
+        """Run all actions due before a time and advance the clock to it."""
         while self._queue and self._queue[0][0] < until:
             self.now, _, action, args = heapq.heappop(self._queue)
             action(*args)
--- a/tools/bench/colocation.py
+++ b/tools/bench/colocation.py
@@ -1,7 +1,7 @@
-"""Quick requests and batch tasks together on a site's fake workers.
+"""Quick requests and batch tasks colocated on a site's fake workers.
 
-Three entries route what a balancer gives them; one holder places batch
-tasks. Each sees the workers only through reports that take their time.
+Three entries route the requests that a load balancer gives them; one
+holder places batch tasks. All observe workers through delayed reports.
 """
 
 import collections
@@ -19,51 +19,52 @@
 TASK_CORES = 8.0
 TASK_MEMORY_GB = 20.0
 TASK_SECONDS = 30.0
-REPORT_PERIOD = 1.0
-DISPATCH_PERIOD = 0.1
+REPORT_INTERVAL_SECONDS = 1.0
+DISPATCH_INTERVAL_SECONDS = 0.1
 CHECKPOINT_SECONDS = 3.0
 LEASE_SECONDS = 12.0
-LINK_SILENCE = 0.5
-_REQUEST_TIMEOUT = 2.0
+LINK_TIMEOUT_SECONDS = 0.5
+_REQUEST_TIMEOUT_SECONDS = 2.0
 _DRAIN_SECONDS = 30.0
 _MAX_ATTEMPTS = 4
-_SCAN = 40
+_MAX_TASKS_PER_DISPATCH = 40
 
-PLACEABLE = admission.subtract_headroom(
+MAX_COMMITTED = admission.subtract_headroom(
     admission.Size(machines.CORES, machines.MEMORY_GB)
 )
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What arrives; parts of capacity, seconds, and weights by class.
+    """The arriving work; loads are fractions of capacity.
 
-    ``quick`` has mean seconds and the part of requests; ``batch`` the
-    part of tasks. ``wave`` multiplies the arrivals of one batch class
-    during ``wave_seconds`` out of every ``wave_period``.
+    ``quick`` has, by class, the mean service seconds and the fraction of
+    requests; ``batch`` the fraction of tasks. ``burst`` multiplies the
+    arrivals of one batch class during the first ``burst_seconds`` of
+    every ``burst_period`` (seconds).
     """
 
     quick_load: float
     batch_load: float
     quick: dict[str, tuple[float, float]]
     batch: dict[str, float]
-    wave: tuple[str, float] = ('', 1.0)
-    wave_period: float = 60.0
-    wave_seconds: float = 15.0
+    burst: tuple[str, float] = ('', 1.0)
+    burst_period: float = 60.0
+    burst_seconds: float = 15.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Reporting:
-    """How late usage reports come, and which part never comes."""
+    """Delay of usage reports in seconds, and the fraction lost."""
 
     lag: float = 1.0
     missing: float = 0.0
 
 
 class Policy:
-    """What a policy decides; the base never throttles nor evicts.
+    """Interface of a policy; this base neither throttles nor evicts.
 
-    ``reporting`` takes the place of the scenario's, for an oracle.
+    ``reporting`` overrides the scenario's, which an oracle needs.
     """
 
     reporting: Reporting | None = None
@@ -81,26 +82,26 @@
         raise NotImplementedError
 
     def place(
-        self, candidates: list[fleet.Instance], task: machines.Batch
+        self, candidates: list[fleet.Instance], task: machines.BatchTask
     ) -> fleet.Instance | None:
-        """Choose the instance for a batch task; none leaves it waiting."""
+        """Choose the instance for a batch task; ``None`` defers it."""
         raise NotImplementedError
 
-    def note_started(self, worker: str, task: machines.Batch) -> None:
-        """Hear that a task has started."""
+    def note_started(self, worker: str, task: machines.BatchTask) -> None:
+        """Handle the start of a task on a worker."""
 
-    def note_stopped(self, worker: str, task: machines.Batch) -> None:
-        """Hear that a task has left a worker."""
+    def note_stopped(self, worker: str, task: machines.BatchTask) -> None:
+        """Handle a task's end, eviction or loss on a worker."""
 
     def note_usage(self, usage: machines.Usage) -> None:
-        """Take in a usage report, late."""
+        """Process a usage report, which arrives with a delay."""
 
     def act(self) -> None:
-        """Throttle or evict; called once a second."""
+        """Throttle or evict tasks; called once a second."""
 
 
 class World:
-    """One run: arrivals, entries, the holder, and all counting."""
+    """One run: arrivals, entries, the holder, and the measurements."""
 
     def __init__(
         self,
@@ -125,13 +126,15 @@
         }
         self.entries = [self._make_view() for _ in range(machines.ZONES)]
         self.holder = self._make_view()
-        self.pending: collections.deque[machines.Batch] = collections.deque()
-        self.moving: dict[int, machines.Batch] = {}
+        self.pending: collections.deque[machines.BatchTask] = (
+            collections.deque()
+        )
+        self.in_transit: dict[int, machines.BatchTask] = {}
         self.ended: collections.Counter[int] = collections.Counter()
         self.open_requests = 0
         self.policy = make_policy(self)
         self._arriving = True
-        self._next = 0
+        self._last_id = 0
         for worker in self.workers.values():
             worker.on_batch_end = self._end_batch
 
@@ -158,13 +161,13 @@
         }
 
     def execute(self, seconds: float) -> results.Run:
-        """Let arrivals come for a time, drain, and count."""
+        """Generate arrivals for a time, drain, and return the counts."""
         self._schedule_request()
         self._schedule_batch()
         for worker in self.workers.values():
-            phase = self.chances.random() * REPORT_PERIOD
+            phase = self.chances.random() * REPORT_INTERVAL_SECONDS
             self.clock.call_later(phase, self._start_reports, worker)
-        self.clock.call_every(DISPATCH_PERIOD, self._dispatch)
+        self.clock.call_every(DISPATCH_INTERVAL_SECONDS, self._dispatch)
         self.clock.call_every(1.0, self.policy.act)
         self.clock.run(seconds)
         for worker in self.workers.values():
@@ -179,9 +182,9 @@
         running = collections.Counter(
             task for w in self.workers.values() for task in w.tasks
         )
-        waiting = len(self.pending) + len(self.moving)
-        known = len(self.ended) + len(running) + waiting
-        self.run.lost += self.run.batch_submitted - known
+        waiting = len(self.pending) + len(self.in_transit)
+        accounted = len(self.ended) + len(running) + waiting
+        self.run.lost += self.run.batch_submitted - accounted
         self.run.lost += self.open_requests
         self.run.doubled += sum(n - 1 for n in running.values())
         self.run.doubled += sum(n - 1 for n in self.ended.values())
@@ -190,7 +193,7 @@
     # Quick requests.
 
     def _schedule_request(self) -> None:
-        mean = sum(s * part for s, part in self.load.quick.values())
+        mean = sum(s * fraction for s, fraction in self.load.quick.values())
         slots = machines.WORKERS * machines.SLOTS
         rate = self.load.quick_load * slots / mean
         self.clock.call_later(self.arrivals.expovariate(rate), self._arrive)
@@ -200,17 +203,17 @@
             return
         self._schedule_request()
         names = list(self.load.quick)
-        parts = [part for _, part in self.load.quick.values()]
-        workload = self.arrivals.choices(names, parts)[0]
-        self._next += 1
+        fractions = [fraction for _, fraction in self.load.quick.values()]
+        workload = self.arrivals.choices(names, fractions)[0]
+        self._last_id += 1
         request = machines.Request(
-            id=self._next,
+            id=self._last_id,
             workload=workload,
             service=machines.draw_service(
                 self.arrivals, self.load.quick[workload][0]
             ),
-            sent=self.clock.now,
-            deadline=self.clock.now + _REQUEST_TIMEOUT,
+            sent_at=self.clock.now,
+            deadline=self.clock.now + _REQUEST_TIMEOUT_SECONDS,
             done=self._end_request,
         )
         self.run.requests += 1
@@ -230,19 +233,19 @@
             or len(tried) >= _MAX_ATTEMPTS
             or request.deadline <= self.clock.now
         ):
-            self._answer(request, False)
+            self._complete_request(request, False)
             return
         chosen = self.policy.route(candidates, request.workload, zone)
         chosen.outstanding += 1
         delay = 0.0 if chosen.zone == zone else self.site.zone_delay
         request.context = (number, chosen.name, (*tried, chosen.name), delay)
-        self.clock.call_later(delay, self._reach, request)
+        self.clock.call_later(delay, self._deliver, request)
 
-    def _reach(self, request: machines.Request) -> None:
+    def _deliver(self, request: machines.Request) -> None:
         _, name, _, _ = request.context
         worker = self.workers[name]
         if not worker.alive:
-            self.clock.call_later(LINK_SILENCE, self._reroute, request)
+            self.clock.call_later(LINK_TIMEOUT_SECONDS, self._reroute, request)
         elif not worker.serve(request):
             self._end_request(request, 'refused')
 
@@ -253,33 +256,35 @@
 
     def _end_request(self, request: machines.Request, outcome: str) -> None:
         delay = request.context[3]
-        self.clock.call_later(delay, self._reply, request, outcome)
+        self.clock.call_later(delay, self._receive_reply, request, outcome)
 
-    def _reply(self, request: machines.Request, outcome: str) -> None:
+    def _receive_reply(self, request: machines.Request, outcome: str) -> None:
         number, name, _, _ = request.context
         self.note_load(self.entries[number][name])
         if outcome == 'refused':
             self._reroute(request)
             return
         self.entries[number][name].outstanding -= 1
-        self._answer(request, True)
+        self._complete_request(request, True)
 
-    def _answer(self, request: machines.Request, answered: bool) -> None:
+    def _complete_request(
+        self, request: machines.Request, answered: bool
+    ) -> None:
         self.open_requests -= 1
         if not answered:
             self.run.refused += 1
             return
         self.run.answered += 1
-        seconds = self.clock.now - request.sent + self.site.client_delay
-        self.run.latencies.record(seconds)
+        latency = self.clock.now - request.sent_at + self.site.client_delay
+        self.run.latencies.record(latency)
 
-    # Reports.
+    # Usage reports.
 
     def list_live(
         self, view: dict[str, fleet.Instance], tried: tuple[str, ...] = ()
     ) -> list[fleet.Instance]:
-        """Return the instances that were heard of lately."""
-        oldest = self.clock.now - 3 * REPORT_PERIOD
+        """Return the instances that reported recently."""
+        oldest = self.clock.now - 3 * REPORT_INTERVAL_SECONDS
         return [
             instance
             for instance in view.values()
@@ -287,7 +292,7 @@
         ]
 
     def note_load(self, instance: fleet.Instance) -> None:
-        """Bring a view up to what its sidecar sees now."""
+        """Update a view of an instance from its worker's present state."""
         worker = self.workers[instance.name]
         if not worker.alive:
             return
@@ -297,7 +302,7 @@
         instance.reported_at = self.clock.now
 
     def _start_reports(self, worker: machines.Worker) -> None:
-        self.clock.call_every(REPORT_PERIOD, self._report, worker)
+        self.clock.call_every(REPORT_INTERVAL_SECONDS, self._report, worker)
 
     def _report(self, worker: machines.Worker) -> None:
         if not worker.alive:
@@ -305,7 +310,7 @@
         worker.refresh()
         for view in (*self.entries, self.holder):
             self.note_load(view[worker.name])
-        usage = worker.take_usage()
+        usage = worker.collect_usage()
         reporting = self.policy.reporting or self.reporting
         if self.chances.random() >= reporting.missing:
             self.clock.call_later(reporting.lag, self.policy.note_usage, usage)
@@ -313,8 +318,8 @@
     # Batch tasks.
 
     def _schedule_batch(self) -> None:
-        places = int(PLACEABLE.cores // TASK_CORES) * machines.WORKERS
-        rate = self.load.batch_load * places / TASK_SECONDS
+        task_slots = int(MAX_COMMITTED.cores // TASK_CORES) * machines.WORKERS
+        rate = self.load.batch_load * task_slots / TASK_SECONDS
         self.clock.call_later(
             self.arrivals.expovariate(rate), self._submit_batch
         )
@@ -324,34 +329,34 @@
             return
         self._schedule_batch()
         weights = dict(self.load.batch)
-        noisy, factor = self.load.wave
-        if self.clock.now % self.load.wave_period < self.load.wave_seconds:
-            if noisy:
-                weights[noisy] *= factor
+        burst_class, factor = self.load.burst
+        if self.clock.now % self.load.burst_period < self.load.burst_seconds:
+            if burst_class:
+                weights[burst_class] *= factor
         total = sum(weights.values())
-        # In a wave the noisy class comes on top of the others.
+        # The burst adds to the other classes' arrivals.
         for _ in range(max(1, round(total / sum(self.load.batch.values())))):
             self._submit_one(weights)
 
     def _submit_one(self, weights: dict[str, float]) -> None:
         workload = self.arrivals.choices(list(weights), weights.values())[0]
-        self._next += 1
+        self._last_id += 1
         seconds = machines.draw_service(self.arrivals, TASK_SECONDS)
-        task = machines.Batch(
-            id=self._next,
+        task = machines.BatchTask(
+            id=self._last_id,
             workload=workload,
             cores=TASK_CORES,
-            used=TASK_CORES * self.arrivals.uniform(0.7, 1.0),
+            used_cores=TASK_CORES * self.arrivals.uniform(0.7, 1.0),
             memory_gb=TASK_MEMORY_GB,
-            work=seconds,
+            work_seconds=seconds,
             submitted=self.clock.now,
-            left=seconds,
+            remaining_seconds=seconds,
         )
         self.run.batch_submitted += 1
         self.pending.append(task)
 
     def _dispatch(self) -> None:
-        for _ in range(min(_SCAN, len(self.pending))):
+        for _ in range(min(_MAX_TASKS_PER_DISPATCH, len(self.pending))):
             task = self.pending.popleft()
             chosen = self.policy.place(self.list_live(self.holder), task)
             if chosen is None:
@@ -360,57 +365,57 @@
             chosen.committed = chosen.committed + admission.Size(
                 task.cores, task.memory_gb
             )
-            self.moving[task.id] = task
+            self.in_transit[task.id] = task
             self.clock.call_later(
                 self.site.zone_delay, self._start_batch, task, chosen.name
             )
 
-    def _start_batch(self, task: machines.Batch, name: str) -> None:
+    def _start_batch(self, task: machines.BatchTask, name: str) -> None:
         worker = self.workers[name]
-        self.moving.pop(task.id)
+        self.in_transit.pop(task.id)
         if any(task.id in other.tasks for other in self.workers.values()):
             self.run.doubled += 1
-        task.context = task.left
-        if worker.start_batch(task, PLACEABLE):
+        task.context = task.remaining_seconds
+        if worker.start_batch(task, MAX_COMMITTED):
             self.policy.note_started(name, task)
         else:
             self.pending.append(task)
 
     def _end_batch(
-        self, worker: machines.Worker, task: machines.Batch
+        self, worker: machines.Worker, task: machines.BatchTask
     ) -> None:
         self.ended[task.id] += 1
         self.policy.note_stopped(worker.name, task)
         self.note_load(self.holder[worker.name])
 
     def throttle(self, name: str, task: int, speed: float) -> bool:
-        """Carry a throttle out, as the instance's sidecar would."""
-        done = self.workers[name].throttle_batch(task, speed)
-        if done and speed < 1.0:
+        """Throttle a task, as the instance's sidecar does."""
+        applied = self.workers[name].throttle_batch(task, speed)
+        if applied and speed < 1.0:
             self.run.throttles += 1
-        return done
+        return applied
 
     def evict(self, name: str, task: int) -> bool:
-        """Checkpoint a task and put it back among the waiting."""
+        """Checkpoint a task and requeue it."""
         found = self.workers[name].evict_batch(task)
         if found is None:
             return False
         self.run.evictions += 1
         self.policy.note_stopped(name, found)
         self.note_load(self.holder[name])
-        self._move(found, CHECKPOINT_SECONDS)
+        self._requeue_later(found, CHECKPOINT_SECONDS)
         return True
 
-    def _move(self, task: machines.Batch, seconds: float) -> None:
-        self.moving[task.id] = task
+    def _requeue_later(self, task: machines.BatchTask, seconds: float) -> None:
+        self.in_transit[task.id] = task
         self.clock.call_later(seconds, self._requeue, task)
 
-    def _requeue(self, task: machines.Batch) -> None:
-        self.moving.pop(task.id)
+    def _requeue(self, task: machines.BatchTask) -> None:
+        self.in_transit.pop(task.id)
         self.pending.appendleft(task)
 
     def fail_rack(self, rack: str, seconds: float) -> None:
-        """Lose a rack's instances, which come back empty."""
+        """Fail a rack's instances; they recover without their work."""
         for worker in self.workers.values():
             if worker.rack == rack:
                 self._fail(worker)
@@ -419,8 +424,8 @@
     def _fail(self, worker: machines.Worker) -> None:
         requests, tasks = worker.fail()
         for request in requests:
-            self.clock.call_later(LINK_SILENCE, self._reroute, request)
+            self.clock.call_later(LINK_TIMEOUT_SECONDS, self._reroute, request)
         for task in tasks:
             self.policy.note_stopped(worker.name, task)
-            task.left = task.context
-            self._move(task, LEASE_SECONDS)
+            task.remaining_seconds = task.context
+            self._requeue_later(task, LEASE_SECONDS)
--- a/tools/bench/machines.py
+++ b/tools/bench/machines.py
@@ -1,4 +1,4 @@
-"""Fakes of workers with their backend servers, on the virtual clock."""
+"""Fake workers with their backend servers, on the virtual clock."""
 
 import collections
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Site:
-    """A customer's deployment; delays are one way, in seconds."""
+    """A customer's deployment; delays are one-way, in seconds."""
 
     name: str
     zone_delay: float
@@ -35,12 +35,12 @@
 
 @dataclasses.dataclass
 class Request:
-    """A quick request; ``service`` is its seconds when undisturbed."""
+    """A quick request; ``service`` is in seconds without interference."""
 
     id: int
     workload: str
     service: float
-    sent: float
+    sent_at: float
     deadline: float
     done: t.Callable[['Request', str], None]
     started: float = 0.0
@@ -48,20 +48,20 @@
 
 
 @dataclasses.dataclass
-class Batch:
-    """A batch task; ``work`` is in seconds at full speed.
+class BatchTask:
+    """A batch task; ``work_seconds`` is its run time at full speed.
 
-    ``cores`` are declared, ``used`` is what it really takes.
+    ``cores`` are declared, ``used_cores`` is its actual usage.
     """
 
     id: int
     workload: str
     cores: float
-    used: float
+    used_cores: float
     memory_gb: float
-    work: float
+    work_seconds: float
     submitted: float
-    left: float = 0.0
+    remaining_seconds: float = 0.0
     speed: float = 1.0
     attempts: int = 0
     context: t.Any = None
@@ -69,10 +69,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Usage:
-    """What a worker measured in one window, as it reports it later.
+    """A worker's usage report for one measuring window.
 
     ``latencies`` has, by class, count and summed service seconds;
-    ``cores`` has the average cores that each task used.
+    ``cores`` the average cores that each task used; ``max_p99_seconds``
+    the highest 99th percentile of a class's latencies.
     """
 
     worker: str
@@ -80,13 +81,13 @@
     end: float
     latencies: dict[str, tuple[int, float]]
     cores: dict[int, float]
-    slow_latency: float
+    max_p99_seconds: float
 
 
 class Worker:
-    """An instance that runs requests in slots and batch tasks beside.
+    """An instance that colocates requests, in slots, and batch tasks.
 
-    Its own admission refuses what does not fit, as a sidecar does.
+    Like a sidecar, it refuses work that does not fit.
     """
 
     def __init__(
@@ -108,32 +109,32 @@
         self.busy = 0
         self.queue: collections.deque[Request] = collections.deque()
         self.running: dict[int, Request] = {}
-        self.tasks: dict[int, Batch] = {}
-        self.on_batch_end: t.Callable[[Worker, Batch], None] = _ignore
+        self.tasks: dict[int, BatchTask] = {}
+        self.on_batch_end: t.Callable[[Worker, BatchTask], None] = _ignore
         self.work_done = 0.0
-        self._advanced = 0.0
+        self._advanced_at = 0.0
         self._versions: dict[int, int] = {}
         self._window = self._open_window()
         self._window_begin = 0.0
 
     @property
     def committed(self) -> admission.Size:
-        """What the tasks declare."""
+        """The sum of the tasks' declared sizes."""
         return admission.Size(
             sum(task.cores for task in self.tasks.values()),
             sum(task.memory_gb for task in self.tasks.values()),
         )
 
     def list_shares(self) -> dict[str, float]:
-        """Return the part of the cores that each class truly uses."""
+        """Return the share of the cores that each class actually uses."""
         shares: dict[str, float] = {}
         for task in self.tasks.values():
-            part = task.used * task.speed / CORES
-            shares[task.workload] = shares.get(task.workload, 0.0) + part
+            share = task.used_cores * task.speed / CORES
+            shares[task.workload] = shares.get(task.workload, 0.0) + share
         return shares
 
     def serve(self, request: Request) -> bool:
-        """Take a request in, or refuse it; ``done`` gives its end."""
+        """Accept or refuse a request; its ``done`` is called at the end."""
         if not self.alive or len(self.queue) >= self.queue_limit:
             return False
         if self.busy < SLOTS:
@@ -146,7 +147,7 @@
         self.busy += 1
         self.running[request.id] = request
         request.started = self.clock.now
-        factor = self.truth.slow_request(
+        factor = self.truth.find_request_slowdown(
             request.workload, self.list_shares(), self.busy / SLOTS
         )
         self.clock.call_later(
@@ -161,7 +162,7 @@
         entry = self._window.setdefault(request.workload, [0, 0.0, []])
         entry[0] += 1
         entry[1] += seconds
-        entry[2].append(self.clock.now - request.sent)
+        entry[2].append(self.clock.now - request.sent_at)
         request.done(request, 'answered')
         while self.queue and self.busy < SLOTS:
             waiting = self.queue.popleft()
@@ -170,7 +171,7 @@
             else:
                 self._start(waiting)
 
-    def start_batch(self, task: Batch, limit: admission.Size) -> bool:
+    def start_batch(self, task: BatchTask, limit: admission.Size) -> bool:
         """Start a task if its declared size fits the limit."""
         size = admission.Size(task.cores, task.memory_gb)
         if not self.alive or not (self.committed + size).fits(limit):
@@ -183,7 +184,7 @@
         return True
 
     def throttle_batch(self, task: int, speed: float) -> bool:
-        """Let a task run at a part of its full speed."""
+        """Limit a task to a fraction of its full speed."""
         if task not in self.tasks:
             return False
         self.advance()
@@ -191,8 +192,8 @@
         self._reschedule()
         return True
 
-    def evict_batch(self, task: int) -> Batch | None:
-        """Checkpoint a task and stop it; what is left is kept."""
+    def evict_batch(self, task: int) -> BatchTask | None:
+        """Stop a task and return it with its progress retained."""
         if task not in self.tasks:
             return None
         self.advance()
@@ -202,22 +203,29 @@
         return found
 
     def advance(self) -> None:
-        """Bring the tasks' progress up to now."""
-        elapsed = self.clock.now - self._advanced
-        self._advanced = self.clock.now
+        """Advance the tasks' progress to the present time."""
+        elapsed = self.clock.now - self._advanced_at
+        self._advanced_at = self.clock.now
         if elapsed <= 0:
             return
         for task in self.tasks.values():
-            done = min(task.left, elapsed * self._find_rate(task))
-            task.left -= done
+            done = min(task.remaining_seconds, elapsed * self._find_rate(task))
+            task.remaining_seconds -= done
             self.work_done += done * task.cores
 
-    def _find_rate(self, task: Batch) -> float:
-        same = sum(t.workload == task.workload for t in self.tasks.values())
-        return task.speed / self.truth.slow_batch(same, self.busy / SLOTS)
+    def _find_rate(self, task: BatchTask) -> float:
+        same_class = sum(
+            t.workload == task.workload for t in self.tasks.values()
+        )
+        return task.speed / self.truth.find_batch_slowdown(
+            same_class, self.busy / SLOTS
+        )
 
     def refresh(self) -> None:
-        """Advance with the present load; call about once a second."""
+        """Update progress and end times for the present load.
+
+        Call this about once a second.
+        """
         self.advance()
         self._reschedule()
 
@@ -228,7 +236,10 @@
             rate = self._find_rate(task)
             if rate > 0:
                 self.clock.call_later(
-                    task.left / rate, self._finish, task.id, version
+                    task.remaining_seconds / rate,
+                    self._finish,
+                    task.id,
+                    version,
                 )
 
     def _finish(self, task: int, version: int) -> None:
@@ -240,8 +251,8 @@
         self._reschedule()
         self.on_batch_end(self, found)
 
-    def fail(self) -> tuple[list[Request], list[Batch]]:
-        """Lose the instance; return the work that was on it."""
+    def fail(self) -> tuple[list[Request], list[BatchTask]]:
+        """Fail the instance and return the work that it loses."""
         self.advance()
         self.alive = False
         requests = [*self.running.values(), *self.queue]
@@ -254,13 +265,13 @@
         return requests, tasks
 
     def recover(self) -> None:
-        """Come back empty."""
-        self._advanced = self.clock.now
+        """Return to service without any work."""
+        self._advanced_at = self.clock.now
         self.alive = True
 
-    def take_usage(self) -> Usage:
-        """Close the measuring window and open the next."""
-        slow = max(
+    def collect_usage(self) -> Usage:
+        """Return the usage of the measuring window and open the next."""
+        max_p99 = max(
             (_find_p99(entry[2]) for entry in self._window.values()),
             default=0.0,
         )
@@ -273,9 +284,10 @@
                 for name, entry in self._window.items()
             },
             cores={
-                task.id: task.used * task.speed for task in self.tasks.values()
+                task.id: task.used_cores * task.speed
+                for task in self.tasks.values()
             },
-            slow_latency=slow,
+            max_p99_seconds=max_p99,
         )
         self._window = self._open_window()
         self._window_begin = self.clock.now
@@ -290,7 +302,7 @@
     return sorted(values)[int(0.99 * len(values))]
 
 
-def _ignore(worker: Worker, task: Batch) -> None:
+def _ignore(worker: Worker, task: BatchTask) -> None:
     del worker, task
 
 
@@ -300,7 +312,7 @@
     site: Site,
     queue: int = 32,
 ) -> list[Worker]:
-    """Return the 11 workers of a site: three to a rack, three zones."""
+    """Return the 11 workers of a site: three per rack, three zones."""
     workers = []
     for number in range(WORKERS):
         rack = number // RACK_SIZE
@@ -319,6 +331,6 @@
 
 
 def draw_service(generator: random.Random, mean: float) -> float:
-    """Return a log-normal service time with this mean, in seconds."""
+    """Draw a log-normal service time with this mean, in seconds."""
     location = math.log(mean) - _SERVICE_SIGMA**2 / 2
     return generator.lognormvariate(location, _SERVICE_SIGMA)
--- a/tools/bench/overload.py
+++ b/tools/bench/overload.py
@@ -1,4 +1,4 @@
-"""Quick requests beyond capacity, with the package's gate at entries."""
+"""Quick requests above capacity, with the package's gate at entries."""
 
 import random
 import typing as t
@@ -12,7 +12,7 @@
 from tools.bench import results
 
 URGENT = 'wire-cut-check'
-# At three times capacity the urgent part alone takes 0.63 of the slots.
+# At three times capacity, urgent requests alone take 0.63 of the slots.
 QUICK = {URGENT: (0.15, 0.15), 'board-status': (0.10, 0.85)}
 BATCH = {'archive': 1.0}
 _MILLISECONDS = 1000.0
@@ -26,9 +26,9 @@
     gate : str
         The kind of gate; see ``shedding.POLICIES``.
     load : float
-        Offered requests, as a part of what the slots can serve.
+        Offered requests, as a fraction of what the slots can serve.
     seed : int
-        Of all random numbers.
+        Seeds all random generators.
     """
 
     def __init__(self, gate: str, load: float, seed: int) -> None:
@@ -48,28 +48,28 @@
         ]
         self.offered: dict[str, int] = {}
         self.in_time: dict[str, int] = {}
-        self.served = 0.0
-        self.refused_after = results.Latencies()
+        self.served_slot_seconds = 0.0
+        self.refusal_latencies = results.Latencies()
         self._admitted: dict[int, tuple[int, float]] = {}
 
     def execute(self, seconds: float) -> results.Run:
-        """Run, and note goodput and how long refusals took."""
+        """Run, and add goodput and refusal latencies to the figures."""
         run = super().execute(seconds)
         extras = run.extras
         extras['goodput per s'] = sum(self.in_time.values()) / seconds
-        extras['goodput in slots'] = self.served / seconds
+        extras['goodput in slots'] = self.served_slot_seconds / seconds
         for name in self.offered:
-            part = self.in_time.get(name, 0) / self.offered[name]
-            extras[f'{name} in time'] = part
-        refused = self.refused_after.quantile(99)
-        extras['refused after p99 ms'] = refused * _MILLISECONDS
+            fraction = self.in_time.get(name, 0) / self.offered[name]
+            extras[f'{name} in time'] = fraction
+        refusal_p99 = self.refusal_latencies.quantile(99)
+        extras['refused after p99 ms'] = refusal_p99 * _MILLISECONDS
         return run
 
     def _route(
         self, request: machines.Request, number: int, tried: tuple[str, ...]
     ) -> None:
         if not tried and not self._is_admitted(request, number):
-            self._answer(request, False)
+            self._complete_request(request, False)
             return
         super()._route(request, number, tried)
 
@@ -93,11 +93,13 @@
         self._admitted[request.id] = (number, now)
         return True
 
-    def _answer(self, request: machines.Request, answered: bool) -> None:
-        super()._answer(request, answered)
+    def _complete_request(
+        self, request: machines.Request, answered: bool
+    ) -> None:
+        super()._complete_request(request, answered)
         now = self.clock.now
         if not answered:
-            self.refused_after.record(now - request.sent)
+            self.refusal_latencies.record(now - request.sent_at)
         elif now + self.site.client_delay <= request.deadline:
             self._note_in_time(request)
         admitted = self._admitted.pop(request.id, None)
@@ -109,7 +111,7 @@
     def _note_in_time(self, request: machines.Request) -> None:
         name = request.workload
         self.in_time[name] = self.in_time.get(name, 0) + 1
-        self.served += request.service
+        self.served_slot_seconds += request.service
 
 
 POLICIES: dict[str, tuple[str, float]] = {
@@ -120,15 +122,15 @@
 
 
 def run_policy(policy: str, seed: int, seconds: float) -> results.Run:
-    """Run one gate at one load."""
+    """Run one policy: a kind of gate at one load."""
     gate, load = POLICIES[policy]
     return World(gate, load, seed).execute(seconds)
 
 
 def list_goodput(runs: t.Sequence[results.Summary]) -> list[float]:
-    """Return the goodput of each seed, in slots kept busy.
+    """Return the goodput of each seed, in busy slots.
 
-    Requests a second would not do: under overload more of what is
-    served is urgent, and those requests take longer.
+    Requests per second would mislead: under overload more of the served
+    requests are urgent, and those take longer.
     """
     return [run.extras['goodput in slots'] for run in runs]
--- a/tools/bench/registry.py
+++ b/tools/bench/registry.py
@@ -1,4 +1,4 @@
-"""The scenarios and goals that the bench knows; decorators fill both."""
+"""Registries of the bench's scenarios and goals, with decorators."""
 
 import dataclasses
 import typing as t
@@ -13,28 +13,28 @@
 class Scenario:
     """One experiment: ``run(policy, seed)`` for each policy and seed.
 
-    ``subject`` is the policy under test; ``baselines`` are policies that
-    its ratios are taken to, in the same run of the bench.
+    ``subject`` is the policy under test, ``baselines`` the policies that
+    it is compared with in the same run of the bench.
     """
 
     name: str
-    story: str
+    description: str
     subject: str
     baselines: tuple[str, ...]
     run: Runner
 
     @property
     def policies(self) -> tuple[str, ...]:
-        """The subject, then its baselines."""
+        """The subject, followed by its baselines."""
         return (self.subject, *self.baselines)
 
 
 @dataclasses.dataclass(frozen=True)
 class Goal:
-    """A promise about one scenario; ``measure`` returns a figure.
+    """A target for one scenario; ``measure`` returns a figure per seed.
 
-    The goal is met when the figure of every seed is at most ``limit``
-    (or at least, with ``at_least``); the table shows the median too.
+    The goal is met if the figure of every seed is at most ``limit`` (at
+    least, with ``at_least``); the table also shows the median.
     """
 
     scenario: str
@@ -44,7 +44,7 @@
     measure: t.Callable[[Outcomes], list[float]]
 
     def is_met(self, figure: float) -> bool:
-        """Whether a figure keeps the goal."""
+        """Return whether a figure meets the goal."""
         if self.at_least:
             return figure >= self.limit
         return figure <= self.limit
@@ -57,11 +57,13 @@
 def scenario(
     name: str, subject: str, baselines: t.Sequence[str] = ()
 ) -> t.Callable[[Runner], Runner]:
-    """Register a scenario; its docstring becomes its story."""
+    """Register a scenario; the docstring becomes its description."""
 
     def add(run: Runner) -> Runner:
-        story = ' '.join((run.__doc__ or '').split())
-        SCENARIOS[name] = Scenario(name, story, subject, tuple(baselines), run)
+        description = ' '.join((run.__doc__ or '').split())
+        SCENARIOS[name] = Scenario(
+            name, description, subject, tuple(baselines), run
+        )
         return run
 
     return add
@@ -70,7 +72,7 @@
 def goal(
     scenario: str, text: str, limit: float, at_least: bool = False
 ) -> t.Callable[[t.Callable], t.Callable]:
-    """Register a goal; the function returns one figure for each seed."""
+    """Register a goal; the function returns one figure per seed."""
 
     def add(measure: t.Callable) -> t.Callable:
         GOALS.append(Goal(scenario, text, limit, at_least, measure))
@@ -82,13 +84,13 @@
 def divide(
     outcomes: Outcomes, field: str, policy: str, baseline: str
 ) -> list[float]:
-    """Return a field's ratio of two policies, seed by seed."""
+    """Return the ratio of a field between two policies, per seed."""
     ratios = []
     for own, other in zip(outcomes[policy], outcomes[baseline], strict=True):
-        below = getattr(other, field)
-        above = getattr(own, field)
-        if below:
-            ratios.append(above / below)
+        denominator = getattr(other, field)
+        numerator = getattr(own, field)
+        if denominator:
+            ratios.append(numerator / denominator)
         else:
-            ratios.append(1.0 if not above else float('inf'))
+            ratios.append(1.0 if not numerator else float('inf'))
     return ratios
--- a/tools/bench/results.py
+++ b/tools/bench/results.py
@@ -1,12 +1,12 @@
-"""What one run of a scenario under one policy has measured."""
+"""Measurements of one run of a scenario under one policy."""
 
 import collections
 import dataclasses
 
 from hdrh import histogram
 
-_HIGHEST_MICROSECONDS = 120_000_000
-_DIGITS = 3
+_MAX_MICROSECONDS = 120_000_000
+_SIGNIFICANT_DIGITS = 3
 _MICROSECONDS = 1e6
 
 
@@ -15,15 +15,15 @@
 
     def __init__(self) -> None:
         self._histogram = histogram.HdrHistogram(
-            1, _HIGHEST_MICROSECONDS, _DIGITS
+            1, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS
         )
 
     def record(self, seconds: float) -> None:
-        """Note one request's latency."""
+        """Record one latency."""
         self._histogram.record_value(max(1, int(seconds * _MICROSECONDS)))
 
     def quantile(self, percent: float) -> float:
-        """Return a percentile in seconds; zero without values."""
+        """Return a percentile in seconds, or zero without values."""
         if not self._histogram.get_total_count():
             return 0.0
         value = self._histogram.get_value_at_percentile(percent)
@@ -32,12 +32,12 @@
 
 @dataclasses.dataclass
 class Run:
-    """Counts and latencies of one run; picklable once summarized.
+    """Counts and latencies of one run; only its summary is picklable.
 
-    ``batch_work`` is in core-seconds of progress. ``lost`` counts
-    accepted work without any outcome, ``doubled`` work that ran in two
-    places at once or ended twice. ``extras`` holds figures that only
-    one scenario has.
+    ``batch_work`` is progress in core-seconds. ``lost`` counts accepted
+    work without an outcome, ``doubled`` work that ran on two instances
+    simultaneously or ended twice. ``extras`` holds figures specific to a
+    scenario.
     """
 
     latencies: Latencies = dataclasses.field(default_factory=Latencies)
@@ -56,7 +56,7 @@
     )
 
     def summarize(self) -> 'Summary':
-        """Return the figures that the tables show."""
+        """Return the figures for the tables."""
         return Summary(
             p50=self.latencies.quantile(50),
             p99=self.latencies.quantile(99),
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Summary:
-    """The figures of one run; latencies in seconds."""
+    """The figures of one run, with latencies in seconds."""
 
     p50: float
     p99: float
--- a/tools/bench/scenarios_placement.py
+++ b/tools/bench/scenarios_placement.py
@@ -1,4 +1,4 @@
-"""Scenarios of interference: placement, routing and the ladder."""
+"""Scenarios of interference: placement, routing, escalation ladder."""
 
 import dataclasses
 import functools
@@ -11,14 +11,19 @@
 from tools.bench import results
 from tools.bench import subject
 
-SECONDS = 180.0
-TAIL = 'tail objective'
-THROUGHPUT = 'throughput objective'
-_BLIND = ('random', 'least-outstanding', 'best-fit', 'best-fit-still')
-_BASELINES = ('oracle', *_BLIND)
+RUN_SECONDS = 180.0
+TAIL_OBJECTIVE = 'tail objective'
+THROUGHPUT_OBJECTIVE = 'throughput objective'
+_UNAWARE_BASELINES = (
+    'random',
+    'least-outstanding',
+    'best-fit',
+    'best-fit-still',
+)
+_BASELINES = ('oracle', *_UNAWARE_BASELINES)
 
-# Each service has one class of batch work that hurts it badly.
-_PLANNING = {
+# Each service has one batch class that interferes strongly with it.
+_PLANNING_STRENGTHS = {
     ('wire-cut-check', 'routing-build'): 3.0,
     ('wire-cut-check', 'drc-sweep'): 0.4,
     ('wire-cut-check', 'archive'): 0.1,
@@ -29,7 +34,7 @@
 _PLANNING_QUICK = {'wire-cut-check': (0.15, 0.5), 'board-status': (0.10, 0.5)}
 _PLANNING_BATCH = {'routing-build': 0.35, 'drc-sweep': 0.30, 'archive': 0.35}
 
-_LISTINGS = {
+_LISTINGS_STRENGTHS = {
     ('photo-tag', 'pedigree-match'): 2.5,
     ('photo-tag', 'price-match'): 0.6,
     ('photo-tag', 'thumbnails'): 0.1,
@@ -47,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Deployment:
-    """A customer's site, what arrives there, and how it interferes."""
+    """A customer's site with its workloads and their interference."""
 
     site: machines.Site
     strengths: dict[tuple[str, str], float]
@@ -55,17 +60,17 @@
     batch: dict[str, float]
 
     def make_load(
-        self, quick: float = 0.7, batch: float = 0.7, **wave: t.Any
+        self, quick: float = 0.7, batch: float = 0.7, **burst: t.Any
     ) -> colocation.Load:
-        """Return arrivals at these parts of capacity."""
-        return colocation.Load(quick, batch, self.quick, self.batch, **wave)
+        """Return arrivals at these fractions of capacity."""
+        return colocation.Load(quick, batch, self.quick, self.batch, **burst)
 
 
 TALLOWFORD = Deployment(
-    machines.TALLOWFORD, _PLANNING, _PLANNING_QUICK, _PLANNING_BATCH
+    machines.TALLOWFORD, _PLANNING_STRENGTHS, _PLANNING_QUICK, _PLANNING_BATCH
 )
 PHAM_GIA = Deployment(
-    machines.PHAM_GIA, _LISTINGS, _LISTINGS_QUICK, _LISTINGS_BATCH
+    machines.PHAM_GIA, _LISTINGS_STRENGTHS, _LISTINGS_QUICK, _LISTINGS_BATCH
 )
 
 
@@ -86,23 +91,25 @@
     )
 
 
-@registry.scenario('bad pair', TAIL, _BASELINES)
+@registry.scenario('bad pair', TAIL_OBJECTIVE, _BASELINES)
 def run_bad_pair(policy: str, seed: int) -> results.Run:
     """Steady colocation with a bad pair; quick and batch load 0.7."""
-    return _make_world(policy, seed).execute(SECONDS)
+    return _make_world(policy, seed).execute(RUN_SECONDS)
 
 
 @registry.scenario(
-    'bad pair, Pham Gia', THROUGHPUT, ('throughput oracle', *_BLIND)
+    'bad pair, Pham Gia',
+    THROUGHPUT_OBJECTIVE,
+    ('throughput oracle', *_UNAWARE_BASELINES),
 )
 def run_bad_pair_listings(policy: str, seed: int) -> results.Run:
-    """Steady colocation at the other deployment, its own objective."""
-    return _make_world(policy, seed, PHAM_GIA).execute(SECONDS)
+    """Steady colocation at the other deployment, with its objective."""
+    return _make_world(policy, seed, PHAM_GIA).execute(RUN_SECONDS)
 
 
-@registry.scenario('shift half-way', TAIL, _BASELINES)
+@registry.scenario('shift half-way', TAIL_OBJECTIVE, _BASELINES)
 def run_shift(policy: str, seed: int) -> results.Run:
-    """After half of the time the bad pairs swap."""
+    """Swap the bad pairs after half of the time."""
     world = _make_world(policy, seed)
 
     def swap() -> None:
@@ -114,67 +121,77 @@
                 strengths[build],
             )
 
-    world.clock.call_later(SECONDS / 2, swap)
-    return world.execute(SECONDS)
+    world.clock.call_later(RUN_SECONDS / 2, swap)
+    return world.execute(RUN_SECONDS)
 
 
-def _run_late(
+def _run_delayed_reports(
     lag: float, missing: float, policy: str, seed: int
 ) -> results.Run:
     reporting = colocation.Reporting(lag, missing)
-    return _make_world(policy, seed, reporting=reporting).execute(SECONDS)
+    return _make_world(policy, seed, reporting=reporting).execute(RUN_SECONDS)
 
 
-def _register_late(name: str, story: str, lag: float, missing: float) -> None:
-    run = functools.partial(_run_late, lag, missing)
-    run.__doc__ = story
-    registry.scenario(name, TAIL, ('oracle', 'best-fit'))(run)
+def _register_delayed_reports(
+    name: str, description: str, lag: float, missing: float
+) -> None:
+    run = functools.partial(_run_delayed_reports, lag, missing)
+    run.__doc__ = description
+    registry.scenario(name, TAIL_OBJECTIVE, ('oracle', 'best-fit'))(run)
 
 
-_register_late('reports 1 s late', 'Usage reports come after 1 s.', 1.0, 0.0)
-_register_late('reports 5 s late', 'Usage reports come after 5 s.', 5.0, 0.0)
-_register_late(
-    'reports 30 s late', 'Usage reports come after 30 s.', 30.0, 0.0
+_register_delayed_reports(
+    'reports 1 s late', 'Usage reports arrive after 1 s.', 1.0, 0.0
+)
+_register_delayed_reports(
+    'reports 5 s late', 'Usage reports arrive after 5 s.', 5.0, 0.0
 )
-_register_late(
+_register_delayed_reports(
+    'reports 30 s late', 'Usage reports arrive after 30 s.', 30.0, 0.0
+)
+_register_delayed_reports(
     'reports missing',
-    'Usage reports come after 5 s, and half of them never.',
+    'Usage reports arrive after 5 s; half of them are lost.',
     5.0,
     0.5,
 )
 
 
-@registry.scenario('noisy waves', TAIL, _BASELINES)
-def run_waves(policy: str, seed: int) -> results.Run:
-    """Batch load 0.5; for 15 s of each minute 4 times the noisy tasks."""
-    load = TALLOWFORD.make_load(0.7, 0.5, wave=('routing-build', 4.0))
-    return _make_world(policy, seed, load=load).execute(SECONDS)
+@registry.scenario('noisy waves', TAIL_OBJECTIVE, _BASELINES)
+def run_bursts(policy: str, seed: int) -> results.Run:
+    """Batch load 0.5; for 15 s of each minute, 4 times the noisy tasks."""
+    load = TALLOWFORD.make_load(0.7, 0.5, burst=('routing-build', 4.0))
+    return _make_world(policy, seed, load=load).execute(RUN_SECONDS)
 
 
-@registry.scenario('load 1.0', TAIL, _BASELINES)
-def run_full(policy: str, seed: int) -> results.Run:
-    """Quick requests at 1.0 of the undisturbed capacity, batch at 1.0."""
+@registry.scenario('load 1.0', TAIL_OBJECTIVE, _BASELINES)
+def run_full_load(policy: str, seed: int) -> results.Run:
+    """Quick load 1.0 of the capacity without interference, batch load 1.0."""
     load = TALLOWFORD.make_load(1.0, 1.0)
-    return _make_world(policy, seed, load=load).execute(SECONDS)
+    return _make_world(policy, seed, load=load).execute(RUN_SECONDS)
 
 
-@registry.scenario('rack lost', TAIL, _BASELINES)
+@registry.scenario('rack lost', TAIL_OBJECTIVE, _BASELINES)
 def run_rack_lost(policy: str, seed: int) -> results.Run:
-    """Three workers go after a third of the time, for a third of it."""
+    """Three workers fail after a third of the time, for a third of it."""
     load = TALLOWFORD.make_load(0.5, 0.6)
     world = _make_world(policy, seed, load=load)
-    third = SECONDS / 3
-    world.clock.call_later(third, world.fail_rack, 'rack-0', third)
-    return world.execute(SECONDS)
+    third_seconds = RUN_SECONDS / 3
+    world.clock.call_later(
+        third_seconds, world.fail_rack, 'rack-0', third_seconds
+    )
+    return world.execute(RUN_SECONDS)
 
 
 @registry.scenario(
-    'objectives', THROUGHPUT, (TAIL, 'throughput oracle', 'oracle', *_BLIND)
+    'objectives',
+    THROUGHPUT_OBJECTIVE,
+    (TAIL_OBJECTIVE, 'throughput oracle', 'oracle', *_UNAWARE_BASELINES),
 )
 def run_objectives(policy: str, seed: int) -> results.Run:
-    """Both objectives on the same load: quick 0.6, batch 1.2 (backlog)."""
+    """Both objectives at the same load: quick 0.6, batch 1.2 (backlog)."""
     load = PHAM_GIA.make_load(0.6, 1.2)
-    return _make_world(policy, seed, PHAM_GIA, load).execute(SECONDS)
+    return _make_world(policy, seed, PHAM_GIA, load).execute(RUN_SECONDS)
 
 
 def _register_ratio(
@@ -193,16 +210,16 @@
 
 
 def _register_goals() -> None:
-    for name, found in registry.SCENARIOS.items():
+    for name, registered in registry.SCENARIOS.items():
         for oracle in ('oracle', 'throughput oracle'):
-            if found.baselines[0] == oracle:
+            if registered.baselines[0] == oracle:
                 _register_ratio(
                     name,
                     'p99 against the oracle',
                     1.2,
                     False,
                     'p99',
-                    found.subject,
+                    registered.subject,
                     oracle,
                 )
     for field, text, limit, at_least in (
@@ -221,7 +238,7 @@
         0.5,
         False,
         'p99',
-        TAIL,
+        TAIL_OBJECTIVE,
         'best-fit-still',
     )
     _register_ratio(
@@ -230,8 +247,8 @@
         1.1,
         True,
         'batch_work',
-        THROUGHPUT,
-        TAIL,
+        THROUGHPUT_OBJECTIVE,
+        TAIL_OBJECTIVE,
     )
 
 
--- a/tools/bench/subject.py
+++ b/tools/bench/subject.py
@@ -1,8 +1,8 @@
 """The package's own decisions as a policy of the bench, and an oracle.
 
-The oracle runs the same decisions with the truth in place of the
-estimate: it knows the true interference, what truly runs on each worker
-and how long each queue is, all without delay.
+The oracle takes the same decisions with actual values in place of
+estimates: interference, the work on each worker and the lengths of the
+queues, all without delay.
 """
 
 import dataclasses
@@ -24,32 +24,32 @@
 
 _EVICTIONS_PER_SECOND = 1 / 15
 _EVICTION_BURST = 4.0
-_DEMAND_MEMORY = 0.8
+_DEMAND_SMOOTHING = 0.8
 _OWNER = 'owner'
 
 
 def make_catalogue(
     load: colocation.Load, objective: catalogue.Objective
 ) -> catalogue.Catalogue:
-    """Return a catalogue in which one team owns everything."""
+    """Return a catalogue in which one team owns all workloads."""
     sections = [
         f'[team {_OWNER}]\nobjective = {objective}\n'
         'cores = 10000\nmemory-gb = 100000\n'
     ]
-    kinds = {
+    classes = {
         **dict.fromkeys(load.quick, 'latency-critical'),
         **dict.fromkeys(load.batch, 'batch'),
     }
-    for name, kind in kinds.items():
+    for name, workload_class in classes.items():
         sections.append(
-            f'[workload {name}]\nowner = {_OWNER}\nclass = {kind}\n'
+            f'[workload {name}]\nowner = {_OWNER}\nclass = {workload_class}\n'
             'cores = 1\nmemory-gb = 1\n'
         )
     return catalogue.parse('bench', '\n'.join(sections))
 
 
 class SubjectPolicy(colocation.Policy):
-    """Placement, routing and ladder as the package decides them."""
+    """The package's placement, routing and escalation ladder."""
 
     objective = catalogue.Objective.TAIL_LATENCY
 
@@ -57,13 +57,13 @@
         super().__init__(world)
         clock = world.clock.read
         self.estimator = self._make_estimator()
-        owners = objectives.Objectives(
+        owner_objectives = objectives.Objectives(
             functools.partial(
                 objectives.find_objective,
                 make_catalogue(world.load, self.objective),
             )
         )
-        self.placer = placement.Placer(self.estimator, owners, clock)
+        self.placer = placement.Placer(self.estimator, owner_objectives, clock)
         self.router = routing.Router(
             self.estimator,
             clock,
@@ -73,7 +73,9 @@
         budget = ladder.EvictionBudget(
             clock, _EVICTIONS_PER_SECOND, _EVICTION_BURST
         )
-        self.ladder = ladder.Ladder(self.estimator, owners, budget, clock)
+        self.ladder = ladder.Ladder(
+            self.estimator, owner_objectives, budget, clock
+        )
         self.timelines = {
             name: usage_module.Timeline(machines.CORES)
             for name in world.workers
@@ -82,39 +84,39 @@
             name: usage_module.Joiner(timeline, machines.SLOTS)
             for name, timeline in self.timelines.items()
         }
-        self.left: dict[int, str] = {}
+        self.evicted_from: dict[int, str] = {}
 
     def _make_estimator(self) -> interference.Estimator:
         return interference.Estimator()
 
     def route(self, candidates, workload, zone):
-        """Choose by the router's cost."""
+        """Choose the instance with the router."""
         return self.router.choose(candidates, workload, zone).instance
 
     def place(self, candidates, task):
-        """Choose by the placer's cost."""
-        need = placement.Requirement(
+        """Choose the instance with the placer."""
+        requirement = placement.Requirement(
             workload=task.workload,
             size=admission.Size(task.cores, task.memory_gb),
             waited=self.world.clock.now - task.submitted,
-            avoid=frozenset(filter(None, [self.left.get(task.id)])),
+            avoid=frozenset(filter(None, [self.evicted_from.get(task.id)])),
         )
-        return self.placer.choose(candidates, need).instance
+        return self.placer.choose(candidates, requirement).instance
 
     def note_started(self, worker, task):
-        """Keep the sidecar's history of who ran."""
+        """Record the start in the history, as a sidecar does."""
         self.timelines[worker].note_start(
             str(task.id), task.workload, task.cores, self.world.clock.now
         )
-        self._announce(worker)
+        self._update_views(worker)
 
     def note_stopped(self, worker, task):
-        """Keep the sidecar's history of who ran."""
+        """Record the end in the history, as a sidecar does."""
         self.timelines[worker].note_stop(str(task.id), self.world.clock.now)
-        self._announce(worker)
+        self._update_views(worker)
 
     def note_usage(self, usage):
-        """Join a late report and learn from it."""
+        """Join a delayed report with the history and learn from it."""
         joiner = self.joiners[usage.worker]
         report = usage_module.Report(
             usage.begin,
@@ -127,9 +129,9 @@
         )
         for sample in joiner.join(report, self.world.clock.now):
             self.estimator.learn(sample)
-        self._announce(usage.worker)
+        self._update_views(usage.worker)
 
-    def _announce(self, worker: str) -> None:
+    def _update_views(self, worker: str) -> None:
         shares = self.timelines[worker].find_shares()
         for view in (*self.world.entries, self.world.holder):
             instance = view[worker]
@@ -140,28 +142,28 @@
 
     @staticmethod
     def _smooth(
-        before: dict[str, float], now: dict[str, float]
+        previous: dict[str, float], current: dict[str, float]
     ) -> dict[str, float]:
         return {
-            name: _DEMAND_MEMORY * before.get(name, 0.0)
-            + (1 - _DEMAND_MEMORY) * now.get(name, 0.0)
-            for name in {*before, *now}
+            name: _DEMAND_SMOOTHING * previous.get(name, 0.0)
+            + (1 - _DEMAND_SMOOTHING) * current.get(name, 0.0)
+            for name in {*previous, *current}
         }
 
     def act(self):
-        """Let the ladder take one step on each instance."""
+        """Execute the ladder's decision for each instance."""
         for name, timeline in self.timelines.items():
-            situation = self.describe(name, timeline)
+            snapshot = self.make_snapshot(name, timeline)
             action = self.ladder.decide(
-                situation, lambda task, n=name: self._find_relief(n, task)
+                snapshot, lambda task, n=name: self._find_relief(n, task)
             )
             if action is not None:
-                self._carry_out(action)
+                self._execute(action)
 
-    def describe(
+    def make_snapshot(
         self, name: str, timeline: usage_module.Timeline
     ) -> ladder.InstanceSnapshot:
-        """Return what the ladder is told of an instance."""
+        """Return the ladder's snapshot of an instance."""
         return ladder.InstanceSnapshot(
             instance=name,
             tasks=tuple(
@@ -176,7 +178,7 @@
         live = self.world.list_live(self.world.holder)
         size = admission.Size(colocation.TASK_CORES, colocation.TASK_MEMORY_GB)
         here = self.world.holder[name]
-        without = dataclasses.replace(
+        without_task = dataclasses.replace(
             here,
             shares={
                 **here.shares,
@@ -184,27 +186,29 @@
                 - task.share * task.speed,
             },
         )
-        now = self.placer.find_interference(without, task.workload, task.share)
-        others = [
+        current = self.placer.find_interference(
+            without_task, task.workload, task.share
+        )
+        elsewhere = [
             self.placer.find_interference(i, task.workload, task.share)
             for i in placement.list_fitting(live, size)
             if i.name != name
         ]
-        if not others or now <= 0:
+        if not elsewhere or current <= 0:
             return 0.0
-        return 1.0 - min(others) / now
+        return 1.0 - min(elsewhere) / current
 
-    def _carry_out(self, action: ladder.Action) -> None:
+    def _execute(self, action: ladder.Action) -> None:
         task = int(action.task)
         if action.kind is ladder.Kind.EVICT:
-            self.left[task] = action.instance
+            self.evicted_from[task] = action.instance
             self.world.evict(action.instance, task)
             return
         if self.world.throttle(action.instance, task, action.speed):
             self.timelines[action.instance].note_speed(
                 action.task, action.speed, self.world.clock.now
             )
-            self._announce(action.instance)
+            self._update_views(action.instance)
 
 
 @baselines.register('tail objective')
@@ -220,7 +224,7 @@
 
 
 class TrueEstimator(interference.Estimator):
-    """Answers from the truth."""
+    """Returns the actual interference of a run."""
 
     def __init__(self, world: colocation.World) -> None:
         super().__init__()
@@ -228,22 +232,28 @@
         self._quick = world.load.quick
 
     def find_base(self, victim, default=0.0):
-        """Return the true mean service time."""
+        """Return the actual mean service time."""
         return self._quick[victim][0]
 
     def find_coefficient(self, victim, aggressor, busy):
-        """Return the true slowdown by the whole instance's cores."""
-        return self._truth.slow_request(victim, {aggressor: 1.0}, busy) - 1.0
+        """Return the actual slowdown at a share of 1."""
+        return (
+            self._truth.find_request_slowdown(victim, {aggressor: 1.0}, busy)
+            - 1.0
+        )
 
     def predict(self, victim, shares, busy):
-        """Return the true factor."""
-        return self._truth.slow_request(victim, shares, busy)
+        """Return the actual factor."""
+        return self._truth.find_request_slowdown(victim, shares, busy)
 
     def explain(self, victim, shares, busy):
-        """Return the true factor; a term is its class's part of it."""
+        """Return the actual factor, with one term for each class."""
         terms = []
         for name, share in shares.items():
-            excess = self._truth.slow_request(victim, {name: share}, busy) - 1
+            excess = (
+                self._truth.find_request_slowdown(victim, {name: share}, busy)
+                - 1
+            )
             coefficient = excess / share if share else 0.0
             terms.append(interference.Term(name, share, coefficient))
         terms.sort(key=lambda term: term.excess, reverse=True)
@@ -254,7 +264,7 @@
 
 @baselines.register('oracle')
 class OraclePolicy(SubjectPolicy):
-    """The same decisions by one who knows the truth at once."""
+    """The same decisions with actual values, observed without delay."""
 
     reporting = colocation.Reporting(lag=0.0, missing=0.0)
 
@@ -262,7 +272,7 @@
         return TrueEstimator(self.world)
 
     def route(self, candidates, workload, zone):
-        """Choose with the true shares and queues."""
+        """Choose with the actual shares and queues."""
         for instance in candidates:
             self.world.note_load(instance)
             worker = self.world.workers[instance.name]
--- a/tools/bench/table.py
+++ b/tools/bench/table.py
@@ -1,4 +1,4 @@
-"""The Markdown tables of a bench run."""
+"""Markdown tables of a bench run."""
 
 import statistics
 import typing as t
@@ -8,37 +8,37 @@
 
 Outcomes = dict[str, registry.Outcomes]
 
-_HEAD = (
+_HEADER = (
     '| policy | p50 ms | p99 ms | p99.9 ms | p99 ratio | batch core-h |'
     ' batch ratio | batch ended | evicted | throttled | refused |'
     ' doubled | lost |'
 )
 _MILLISECONDS = 1000.0
-_HOUR = 3600.0
+_SECONDS_PER_HOUR = 3600.0
 
 
 def write_tables(outcomes: Outcomes, seeds: t.Sequence[int]) -> str:
-    """Return one table for each scenario, then the goals.
+    """Return one table per scenario, followed by the goals.
 
-    A figure is the median over the seeds, with lowest and highest in
-    brackets; a ratio is the subject's own figure over this row's, seed
-    by seed.
+    Each figure is the median over the seeds, with the lowest and highest
+    in parentheses. A ratio is the subject's figure divided by the
+    row's, per seed.
     """
     parts = []
     for name, by_policy in outcomes.items():
         scenario = registry.SCENARIOS[name]
-        parts.append(f'### {name}\n\n{scenario.story}\n')
+        parts.append(f'### {name}\n\n{scenario.description}\n')
         parts.append(_write_scenario(scenario, by_policy))
     parts.append('### Goals\n\n' + write_goals(outcomes))
     text = '\n'.join(parts)
-    listed = ', '.join(str(seed) for seed in seeds)
-    return f'Seeds: {listed}.\n\n{text}'
+    seed_list = ', '.join(str(seed) for seed in seeds)
+    return f'Seeds: {seed_list}.\n\n{text}'
 
 
 def _write_scenario(
     scenario: registry.Scenario, by_policy: registry.Outcomes
 ) -> str:
-    lines = [_HEAD, '| --- |' + ' ---: |' * (_HEAD.count('|') - 2)]
+    lines = [_HEADER, '| --- |' + ' ---: |' * (_HEADER.count('|') - 2)]
     for policy in scenario.policies:
         lines.append(_write_row(scenario, by_policy, policy))
     lines.extend(_write_extras(scenario, by_policy))
@@ -51,12 +51,14 @@
     runs = by_policy[policy]
 
     def spread(field: str, factor: float = 1.0, digits: int = 0) -> str:
-        return _spread([getattr(r, field) * factor for r in runs], digits)
+        return _format_spread(
+            [getattr(r, field) * factor for r in runs], digits
+        )
 
     def ratio(field: str) -> str:
         if policy == scenario.subject:
             return '1'
-        return _spread(
+        return _format_spread(
             registry.divide(by_policy, field, scenario.subject, policy), 2
         )
 
@@ -66,7 +68,7 @@
         spread('p99', _MILLISECONDS),
         spread('p999', _MILLISECONDS),
         ratio('p99'),
-        spread('batch_work', 1 / _HOUR, 1),
+        spread('batch_work', 1 / _SECONDS_PER_HOUR, 1),
         ratio('batch_work'),
         spread('batch_finished'),
         spread('evictions'),
@@ -87,7 +89,8 @@
         names = sorted({name for run in runs for name in run.extras})
         if names:
             figures = ', '.join(
-                f'{name} {_spread([r.extras.get(name, 0) for r in runs], 2)}'
+                f'{name} '
+                f'{_format_spread([r.extras.get(name, 0) for r in runs], 2)}'
                 for name in names
             )
             lines.append(f'- {policy}: {figures}')
@@ -95,7 +98,7 @@
 
 
 def write_goals(outcomes: Outcomes) -> str:
-    """Return the goals whose scenarios were run, and how each stands."""
+    """Return the goals of the scenarios that were run, with results."""
     lines = [
         '| scenario | goal | limit | median (spread) | seeds that meet it |',
         '| --- | --- | ---: | ---: | ---: |',
@@ -105,27 +108,27 @@
             continue
         figures = goal.measure(outcomes[goal.scenario])
         met = sum(goal.is_met(figure) for figure in figures)
-        sign = '>=' if goal.at_least else '<='
+        operator = '>=' if goal.at_least else '<='
         lines.append(
-            f'| {goal.scenario} | {goal.text} | {sign} {goal.limit:g} |'
-            f' {_spread(figures, 2)} | {met} of {len(figures)} |'
+            f'| {goal.scenario} | {goal.text} | {operator} {goal.limit:g} |'
+            f' {_format_spread(figures, 2)} | {met} of {len(figures)} |'
         )
     return '\n'.join(lines) + '\n'
 
 
-def _spread(values: t.Sequence[float], digits: int) -> str:
-    middle, low, high = statistics.median(values), min(values), max(values)
-    texts = [f'{value:.{digits}f}' for value in (middle, low, high)]
+def _format_spread(values: t.Sequence[float], digits: int) -> str:
+    median, low, high = statistics.median(values), min(values), max(values)
+    texts = [f'{value:.{digits}f}' for value in (median, low, high)]
     if texts[1] == texts[2]:
         return texts[0]
     return f'{texts[0]} ({texts[1]}-{texts[2]})'
 
 
 def list_fields(run: results.Summary) -> dict[str, float]:
-    """Return the plotted figures of a run by name."""
+    """Return the figures of a run to plot, by name."""
     return {
         'p99 (ms)': run.p99 * _MILLISECONDS,
         'p99.9 (ms)': run.p999 * _MILLISECONDS,
-        'batch work (core-h)': run.batch_work / _HOUR,
+        'batch work (core-h)': run.batch_work / _SECONDS_PER_HOUR,
         'evictions': run.evictions,
     }
--- a/tools/bench/tenancy.py
+++ b/tools/bench/tenancy.py
@@ -1,8 +1,8 @@
-"""Batch tasks of many teams on fake instances, planned by real holders.
+"""Batch tasks of many teams on fake instances, planned by real planners.
 
-Orders, quotas, quarantine, learnt sizes and admission are the package's
-own; instances, store and time are fakes. A latency here is how long a
-task waited from its acceptance to its first start.
+Ordering, quotas, quarantine, learned sizes and admission are the
+package's own; instances, store and time are fakes. Latencies are the
+times from a task's acceptance to its first start.
 """
 
 import collections
@@ -28,21 +28,21 @@
 
 CAPACITY = admission.Size(machines.CORES, machines.MEMORY_GB)
 ENTRIES = 3
-TICK = 0.1
-COMMIT = 0.1
-RENEW = 1.5
-REPORT = 0.5
-USAGE = 2.0
-LEASE = 6.0
-LEASE_MARGIN = 2.0
-CHECKPOINT = 5.0
+TICK_SECONDS = 0.1
+COMMIT_SECONDS = 0.1
+RENEWAL_INTERVAL_SECONDS = 1.5
+REPORT_INTERVAL_SECONDS = 0.5
+USAGE_INTERVAL_SECONDS = 2.0
+LEASE_SECONDS = 6.0
+LEASE_MARGIN_SECONDS = 2.0
+CHECKPOINT_SECONDS = 5.0
 MAX_ATTEMPTS = 3
-_FAIL_SECONDS = 0.05
+_FAILURE_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True)
 class Rules:
-    """Which of the package's policies a run uses, by name."""
+    """Names of the package's policies that a run uses."""
 
     tracker: str = 'crossings'
     learner: str = 'quantiles'
@@ -50,10 +50,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
-    """The truth of a workload; no policy is told ``used`` or ``broken``.
+class Workload:
+    """A workload; policies can't observe ``used`` and ``broken``.
 
-    ``rate`` is in tasks a second, ``wave`` arrives at the start.
+    ``rate`` is in tasks per second; ``burst`` tasks arrive at the start.
     """
 
     name: str
@@ -64,62 +64,62 @@
     rate: float
     idempotent: bool = True
     broken: bool = False
-    wave: int = 0
+    burst: int = 0
 
 
 @dataclasses.dataclass
-class Running:
-    """One attempt on an instance."""
+class Attempt:
+    """One attempt of a task on an instance."""
 
     task: str
     attempt: int
-    kind: Kind
-    began: float
-    left: float
+    workload: Workload
+    started_at: float
+    remaining_seconds: float
     phase: str = 'active'
 
 
 class Node:
-    """An instance with its sidecar's real admission and probation."""
+    """An instance with a sidecar's real admission and probation."""
 
     def __init__(
-        self, name: str, zone: str, probed: bool, clock: t.Callable
+        self, name: str, zone: str, has_probation: bool, clock: t.Callable
     ) -> None:
         self.name = name
         self.zone = zone
         self.alive = True
         self.broken = False
-        self._probed = probed
+        self._has_probation = has_probation
         self._clock = clock
         self.starts = 0
         self.canaries = 0
-        self.kills = 0
-        self.overuse = 0.0
+        self.memory_kills = 0
+        self.overused_core_seconds = 0.0
         self.restart()
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Return to service without any work."""
         self.commitments = admission.Commitments(CAPACITY)
         self.probation = None
-        if self._probed:
+        if self._has_probation:
             self.probation = quarantine.Probation(self._clock)
-        self.running: dict[str, Running] = {}
+        self.running: dict[str, Attempt] = {}
         self.ended: dict[tuple[str, int], str] = {}
 
     @property
     def used(self) -> admission.Size:
-        """What the running tasks really take."""
-        sizes = (run.kind.used for run in self.running.values())
+        """The actual usage of the running tasks."""
+        sizes = (run.workload.used for run in self.running.values())
         return sum(sizes, admission.Size())
 
     def start(
         self,
         step: planner_module.Placement,
         attempt: int,
-        kind: Kind,
+        workload: Workload,
         now: float,
     ) -> str:
-        """Start an attempt; return why it is refused, if it is."""
+        """Start an attempt; return the reason if it is refused."""
         if self.probation and (
             reason := self.probation.find_refusal(step.canary)
         ):
@@ -133,39 +133,45 @@
         self.canaries += step.canary
         if self.probation and not step.suspect:
             self.probation.note_start(step.task.id, attempt)
-        seconds = kind.seconds
-        if self.broken or kind.broken:
-            seconds = _FAIL_SECONDS
-        self.running[step.task.id] = Running(
-            step.task.id, attempt, kind, now, seconds
+        seconds = workload.seconds
+        if self.broken or workload.broken:
+            seconds = _FAILURE_SECONDS
+        self.running[step.task.id] = Attempt(
+            step.task.id, attempt, workload, now, seconds
         )
         return ''
 
     def advance(self, seconds: float) -> None:
-        """Let tasks run; cores are shared, memory kills the newest."""
+        """Run the tasks for a time.
+
+        Cores are shared in proportion; if memory is exhausted, the newest
+        task is killed.
+        """
         used = self.used
         while used.memory_gb > CAPACITY.memory_gb:
-            newest = max(self.running.values(), key=lambda r: r.began)
-            self.kills += 1
+            newest = max(self.running.values(), key=lambda r: r.started_at)
+            self.memory_kills += 1
             self.end(newest, 'failed')
             used = self.used
-        self.overuse += max(used.cores - CAPACITY.cores, 0.0) * seconds
+        self.overused_core_seconds += (
+            max(used.cores - CAPACITY.cores, 0.0) * seconds
+        )
         speed = min(1.0, CAPACITY.cores / max(used.cores, 1.0))
         for run in list(self.running.values()):
-            run.left -= seconds * speed
-            if run.left <= 0:
-                failed = self.broken or run.kind.broken
+            run.remaining_seconds -= seconds * speed
+            if run.remaining_seconds <= 0:
+                failed = self.broken or run.workload.broken
                 self.end(run, 'failed' if failed else 'succeeded')
 
-    def end(self, run: Running, phase: str) -> None:
-        """Note an attempt's end for the next renewal."""
+    def end(self, run: Attempt, phase: str) -> None:
+        """Record an attempt's end for the next renewal."""
         run.phase = phase
         del self.running[run.task]
         self.commitments.release(run.task)
         self.ended[run.task, run.attempt] = phase
 
     def read_state(self, task: str, attempt: int) -> str:
-        """Answer a renewal, and tell the probation what it shows."""
+        """Return an attempt's state and report it to the probation."""
         run = self.running.get(task)
         phase = self.ended.get((task, attempt), 'absent')
         if run is not None and run.attempt == attempt:
@@ -182,14 +188,14 @@
 
 
 class View(fleet_module.Fleet):
-    """An entry's view, on the virtual clock."""
+    """An entry's view of the fleet, on the virtual clock."""
 
     def __init__(self, clock: clock_module.EventQueue) -> None:
         super().__init__(2.0)
         self._clock = clock
 
     def note_node(self, node: Node) -> None:
-        """Take a sidecar's report in."""
+        """Process a sidecar's report."""
         found = self._instances.get(node.name)
         if found is None:
             found = self._instances[node.name] = _make_instance(node)
@@ -200,7 +206,7 @@
             found.unproved = node.probation.unproved
 
     def list_live(self, service: str = '') -> list[fleet_module.Instance]:
-        """Return the instances that were heard of lately."""
+        """Return the instances that reported recently."""
         oldest = self._clock.now - self._timeout
         return [i for i in self._instances.values() if i.reported_at >= oldest]
 
@@ -226,7 +232,7 @@
 
 
 class Holder:
-    """The tasks of some teams, followed as a partition's holder does."""
+    """The tasks of some teams, managed as by a partition's holder."""
 
     def __init__(self, world: 'World', number: int) -> None:
         rules = world.rules
@@ -240,29 +246,31 @@
             self.view, self.learned_state, _choose, rules.order
         )
         self.tasks: dict[str, tasks_module.Task] = {}
-        self.open: dict[str, tasks_module.Task] = {}
-        self.busy: set[str] = set()
+        self.open_tasks: dict[str, tasks_module.Task] = {}
+        self.committing: set[str] = set()
         self.claimed_at: dict[str, float] = {}
 
-    def submit(self, kind: Kind, task: str) -> None:
+    def submit(self, workload: Workload, task: str) -> None:
         """Accept a task."""
-        made = tasks_module.Task(task, kind.name, kind.team, '{}', 1)
-        self.tasks[task] = self.open[task] = made
+        created = tasks_module.Task(
+            task, workload.name, workload.team, '{}', 1
+        )
+        self.tasks[task] = self.open_tasks[task] = created
 
     def dispatch(self) -> None:
-        """Plan a round and commit its steps."""
+        """Plan a round of steps and commit them."""
         if self.world.store_down:
             return
         pending = [
             task
-            for task in self.open.values()
+            for task in self.open_tasks.values()
             if task.phase is records.TaskPhase.PENDING
-            and task.id not in self.busy
+            and task.id not in self.committing
         ]
         for step in self.planner.plan(
             pending, self.world.catalogue, self.world.clock.now
         ):
-            self.busy.add(step.task.id)
+            self.committing.add(step.task.id)
             if isinstance(step, planner_module.Refusal):
                 self._commit(self._refuse, step)
             else:
@@ -283,15 +291,15 @@
         task.instance = step.instance.name
         node = self.world.nodes[task.instance]
         self.claimed_at[task.id] = now
-        self.busy.discard(task.id)
+        self.committing.discard(task.id)
         if not node.alive:
             return
-        kind = self.world.kinds[task.workload]
-        if node.start(step, task.attempt, kind, now):
-            self.busy.add(task.id)
+        workload = self.world.workloads[task.workload]
+        if node.start(step, task.attempt, workload, now):
+            self.committing.add(task.id)
             self._commit(self._release, task)
             return
-        self.world.note_start(task, kind)
+        self.world.note_start(task, workload)
 
     def _release(self, task: tasks_module.Task) -> None:
         task.phase = records.TaskPhase.PENDING
@@ -302,68 +310,77 @@
         self, task: tasks_module.Task, phase: records.TaskPhase
     ) -> None:
         task.phase = phase
-        self.open.pop(task.id)
+        self.open_tasks.pop(task.id)
         self._settle(task)
         self.world.note_end(task)
 
     def _settle(self, task: tasks_module.Task) -> None:
         self.planner.note_task(task, self.world.catalogue)
-        self.busy.discard(task.id)
+        self.committing.discard(task.id)
 
     def renew(self) -> None:
-        """Ask the sidecars how the claimed tasks stand."""
+        """Request the states of the claimed tasks from the sidecars."""
         now = self.world.clock.now
-        for task in list(self.open.values()):
+        for task in list(self.open_tasks.values()):
             claimed = task.phase is records.TaskPhase.CLAIMED
-            if not claimed or task.id in self.busy:
+            if not claimed or task.id in self.committing:
                 continue
             node = self.world.nodes[task.instance]
             if node.alive:
                 self.claimed_at[task.id] = now
                 self._note_state(task, node)
-            elif now - self.claimed_at[task.id] >= LEASE + LEASE_MARGIN:
-                self.busy.add(task.id)
-                self._commit(self._give_up, task)
+            elif (
+                now - self.claimed_at[task.id]
+                >= LEASE_SECONDS + LEASE_MARGIN_SECONDS
+            ):
+                self.committing.add(task.id)
+                self._commit(self._abandon, task)
 
     def _note_state(self, task: tasks_module.Task, node: Node) -> None:
         phase = node.read_state(task.id, task.attempt)
         if phase == 'active':
             return
-        self.busy.add(task.id)
+        self.committing.add(task.id)
         if phase == 'absent':
-            self._commit(self._give_up, task)
+            self._commit(self._abandon, task)
             return
         failed = phase == 'failed'
         self.learned_state.tracker.note(task.workload, node.name, failed)
         if failed:
             self._commit(self._note_failure, task)
         else:
-            kind = self.world.kinds[task.workload]
-            self.learned_state.learner.note_run(kind.name, kind.seconds)
+            workload = self.world.workloads[task.workload]
+            self.learned_state.learner.note_run(
+                workload.name, workload.seconds
+            )
             self._commit(self._finish, task, records.TaskPhase.SUCCEEDED)
 
     def _note_failure(self, task: tasks_module.Task) -> None:
-        kind = self.world.kinds[task.workload]
-        to_blame = self.learned_state.tracker.is_job_faulty(task.workload)
-        if kind.idempotent and task.attempt < MAX_ATTEMPTS and not to_blame:
+        workload = self.world.workloads[task.workload]
+        job_faulty = self.learned_state.tracker.is_job_faulty(task.workload)
+        if (
+            workload.idempotent
+            and task.attempt < MAX_ATTEMPTS
+            and not job_faulty
+        ):
             self._release(task)
         else:
             self._finish(task, records.TaskPhase.FAILED)
 
-    def _give_up(self, task: tasks_module.Task) -> None:
-        if self.world.kinds[task.workload].idempotent:
+    def _abandon(self, task: tasks_module.Task) -> None:
+        if self.world.workloads[task.workload].idempotent:
             self._release(task)
         else:
             self._finish(task, records.TaskPhase.UNKNOWN)
 
     def note_usage(self) -> None:
-        """Learn what this holder's tasks use."""
+        """Record the usage of this holder's tasks."""
         for node in self.world.nodes.values():
             for run in node.running.values():
                 if run.task in self.tasks:
-                    used = run.kind.used
+                    used = run.workload.used
                     self.learned_state.learner.note_usage(
-                        run.kind.name, used.cores, used.memory_gb
+                        run.workload.name, used.cores, used.memory_gb
                     )
 
 
@@ -372,20 +389,20 @@
 
 
 class World:
-    """One run: arrivals, holders, nodes, and all counting."""
+    """One run: arrivals, holders, nodes, and the measurements."""
 
     def __init__(
         self,
         rules: Rules,
-        kinds: t.Sequence[Kind],
+        workloads: t.Sequence[Workload],
         catalogue: catalogue_module.Catalogue,
         seed: int,
     ) -> None:
-        # The decisions' log lines would drown the bench's tables.
+        # The decisions' log lines would hide the bench's tables.
         absl_logging.set_verbosity(absl_logging.ERROR)
         self.clock = clock_module.EventQueue()
         self.rules = rules
-        self.kinds = {kind.name: kind for kind in kinds}
+        self.workloads = {workload.name: workload for workload in workloads}
         self.catalogue = catalogue
         self.run = results.Run()
         self.arrivals = random.Random(f'tenancy {seed}')
@@ -394,18 +411,18 @@
             f'instance-{number:02d}': Node(
                 f'instance-{number:02d}',
                 'abc'[number // machines.RACK_SIZE % machines.ZONES],
-                probed=rules.tracker != 'none',
+                has_probation=rules.tracker != 'none',
                 clock=self.clock.read,
             )
             for number in range(machines.WORKERS)
         }
         self.holders = [Holder(self, n) for n in range(ENTRIES)]
-        self.accepted: dict[str, float] = {}
-        self.answered: dict[str, float] = {}
-        self.work: dict[str, float] = collections.defaultdict(float)
-        self.most_quarantined = 0.0
-        self._stalled: list[t.Callable[[], None]] = []
-        self._starts: collections.Counter[str] = collections.Counter()
+        self.accepted_at: dict[str, float] = {}
+        self.answered_at: dict[str, float] = {}
+        self.work_by_team: dict[str, float] = collections.defaultdict(float)
+        self.max_quarantined_share = 0.0
+        self._stalled_commits: list[t.Callable[[], None]] = []
+        self._start_counts: collections.Counter[str] = collections.Counter()
         self._arriving = True
 
     def find_holder(self, team: str) -> Holder:
@@ -414,73 +431,73 @@
         return self.holders[number]
 
     def commit(self, action: t.Callable[[], None]) -> None:
-        """Run an action once the store has taken its record."""
+        """Run an action once the store has committed its record."""
 
         def end() -> None:
             if self.store_down:
-                self._stalled.append(action)
+                self._stalled_commits.append(action)
             else:
                 action()
 
-        self.clock.call_later(COMMIT, end)
+        self.clock.call_later(COMMIT_SECONDS, end)
 
     def set_store(self, down: bool) -> None:
-        """Take the store away, or bring it back."""
+        """Make the store unavailable or available."""
         self.store_down = down
         if not down:
-            stalled, self._stalled = self._stalled, []
+            stalled, self._stalled_commits = self._stalled_commits, []
             for action in stalled:
                 self.commit(action)
 
     def set_zone(self, zone: str, alive: bool) -> None:
-        """Lose a zone's instances, or bring them back empty."""
+        """Fail a zone's instances or recover them without their tasks."""
         for node in self.nodes.values():
             if node.zone == zone:
                 node.alive = alive
                 node.restart()
 
     def execute(self, seconds: float, drain: float = 60.0) -> results.Run:
-        """Let arrivals come for a time, drain, and count."""
-        for kind in self.kinds.values():
-            for _ in range(kind.wave):
-                self._submit(kind)
-            if kind.rate:
-                self._schedule(kind)
-        self.clock.call_every(TICK, self._advance)
-        self.clock.call_every(REPORT, self._report)
+        """Generate arrivals for a time, drain, and return the counts."""
+        for workload in self.workloads.values():
+            for _ in range(workload.burst):
+                self._submit(workload)
+            if workload.rate:
+                self._schedule(workload)
+        self.clock.call_every(TICK_SECONDS, self._advance)
+        self.clock.call_every(REPORT_INTERVAL_SECONDS, self._report)
         for holder in self.holders:
-            self.clock.call_every(TICK, holder.dispatch)
-            self.clock.call_every(RENEW, holder.renew)
-            self.clock.call_every(USAGE, holder.note_usage)
+            self.clock.call_every(TICK_SECONDS, holder.dispatch)
+            self.clock.call_every(RENEWAL_INTERVAL_SECONDS, holder.renew)
+            self.clock.call_every(USAGE_INTERVAL_SECONDS, holder.note_usage)
         self.clock.run(seconds)
         self._arriving = False
         self.clock.run(seconds + drain)
-        self._count()
+        self._count_outcomes()
         return self.run
 
-    def _schedule(self, kind: Kind) -> None:
-        delay = self.arrivals.expovariate(kind.rate)
-        self.clock.call_later(delay, self._arrive, kind)
+    def _schedule(self, workload: Workload) -> None:
+        delay = self.arrivals.expovariate(workload.rate)
+        self.clock.call_later(delay, self._arrive, workload)
 
-    def _arrive(self, kind: Kind) -> None:
+    def _arrive(self, workload: Workload) -> None:
         if self._arriving:
-            self._submit(kind)
-            self._schedule(kind)
+            self._submit(workload)
+            self._schedule(workload)
 
-    def _submit(self, kind: Kind) -> None:
-        # An entry without the store can't accept a task; it says so.
+    def _submit(self, workload: Workload) -> None:
+        # An entry refuses tasks while the store is unavailable.
         if self.store_down:
             self.run.extras['turned away'] += 1
             return
         self.run.batch_submitted += 1
         name = f'{self.run.batch_submitted:06d}'
-        self.accepted[name] = self.clock.now
-        self.find_holder(kind.team).submit(kind, name)
+        self.accepted_at[name] = self.clock.now
+        self.find_holder(workload.team).submit(workload, name)
 
     def _advance(self) -> None:
         for node in self.nodes.values():
             if node.alive:
-                node.advance(TICK)
+                node.advance(TICK_SECONDS)
             fits = node.commitments.total.fits(CAPACITY)
             self.run.extras['overcommitted'] += not fits
 
@@ -489,51 +506,53 @@
             for node in self.nodes.values():
                 if node.alive:
                     holder.view.note_node(node)
-            held = holder.learned_state.tracker.count_quarantined()
-            share = held / max(len(holder.view.list_live()), 1)
-            self.most_quarantined = max(self.most_quarantined, share)
-
-    def note_start(self, task: tasks_module.Task, kind: Kind) -> None:
-        """Count a start that an instance has taken."""
-        self._starts[task.id] += 1
-        if self._starts[task.id] == 1:
-            waited = self.clock.now - self.accepted[task.id]
-            self.run.latencies.record(waited)
-        elif not kind.idempotent:
+            quarantined = holder.learned_state.tracker.count_quarantined()
+            share = quarantined / max(len(holder.view.list_live()), 1)
+            self.max_quarantined_share = max(self.max_quarantined_share, share)
+
+    def note_start(self, task: tasks_module.Task, workload: Workload) -> None:
+        """Count a start that an instance has accepted."""
+        self._start_counts[task.id] += 1
+        if self._start_counts[task.id] == 1:
+            wait = self.clock.now - self.accepted_at[task.id]
+            self.run.latencies.record(wait)
+        elif not workload.idempotent:
             self.run.doubled += 1
-        places = sum(task.id in n.running for n in self.nodes.values())
-        self.run.doubled += max(places - 1, 0)
+        instances = sum(task.id in n.running for n in self.nodes.values())
+        self.run.doubled += max(instances - 1, 0)
 
     def note_end(self, task: tasks_module.Task) -> None:
-        """Count a final outcome."""
-        if task.id in self.answered:
+        """Count a task's final outcome."""
+        if task.id in self.answered_at:
             self.run.doubled += 1
-        kind = self.kinds[task.workload]
-        self.answered[task.id] = self.clock.now
+        workload = self.workloads[task.workload]
+        self.answered_at[task.id] = self.clock.now
         if task.phase is records.TaskPhase.SUCCEEDED:
             self.run.batch_finished += 1
-            self.run.batch_work += kind.used.cores * kind.seconds
-            self.work[task.team] += kind.used.cores * kind.seconds
+            self.run.batch_work += workload.used.cores * workload.seconds
+            self.work_by_team[task.team] += (
+                workload.used.cores * workload.seconds
+            )
         elif task.phase is records.TaskPhase.UNKNOWN:
             self.run.extras['unknown'] += 1
-        elif not kind.broken:
+        elif not workload.broken:
             self.run.extras['good work failed'] += 1
 
-    def find_answer_times(self, workloads: t.Container[str]) -> list[float]:
-        """Return seconds from acceptance to the final answer, sorted."""
+    def list_answer_times(self, workloads: t.Container[str]) -> list[float]:
+        """Return the sorted seconds from acceptance to the final answer."""
         return sorted(
-            self.answered[task.id] - self.accepted[task.id]
+            self.answered_at[task.id] - self.accepted_at[task.id]
             for holder in self.holders
             for task in holder.tasks.values()
-            if task.workload in workloads and task.id in self.answered
+            if task.workload in workloads and task.id in self.answered_at
         )
 
-    def _count(self) -> None:
-        known = sum(len(holder.tasks) for holder in self.holders)
-        self.run.lost += self.run.batch_submitted - known
+    def _count_outcomes(self) -> None:
+        recorded = sum(len(holder.tasks) for holder in self.holders)
+        self.run.lost += self.run.batch_submitted - recorded
         nodes = self.nodes.values()
         extras = self.run.extras
-        extras['memory kills'] = sum(n.kills for n in nodes)
-        extras['overused core-s'] = sum(n.overuse for n in nodes)
-        extras['unanswered'] = sum(len(h.open) for h in self.holders)
-        extras['most quarantined'] = self.most_quarantined
+        extras['memory kills'] = sum(n.memory_kills for n in nodes)
+        extras['overused core-s'] = sum(n.overused_core_seconds for n in nodes)
+        extras['unanswered'] = sum(len(h.open_tasks) for h in self.holders)
+        extras['most quarantined'] = self.max_quarantined_share
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,7 +1,7 @@
 """Run the bench: ``make measure`` writes a table and a page of plots.
 
 Each (scenario, policy, seed) is one run on a virtual clock; runs are
-spread over a few processes and do not depend on each other's order.
+independent of each other and distributed over a few processes.
 """
 
 import argparse
@@ -17,8 +17,8 @@
 from tools.bench import scenarios  # noqa: F401 - registers them
 from tools.bench import table
 
-_SEEDS = 5
-_PROCESSES = 4
+_DEFAULT_SEEDS = 5
+_DEFAULT_PROCESSES = 4
 
 
 def run_one(name: str, policy: str, seed: int) -> results.Summary:
@@ -29,7 +29,7 @@
 def run_all(
     names: t.Sequence[str], seeds: t.Sequence[int], processes: int
 ) -> table.Outcomes:
-    """Return all summaries by scenario and policy, in order of seeds."""
+    """Return all summaries by scenario and policy, ordered by seed."""
     outcomes: table.Outcomes = {}
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         futures = {
@@ -54,8 +54,8 @@
 
 def _read_commit() -> str:
     commit = _run_git('rev-parse', '--short=12', 'HEAD')
-    changed = _run_git('status', '--porcelain', '--untracked-files=no')
-    return (commit or 'unknown') + (' with changes' if changed else '')
+    modified = _run_git('status', '--porcelain', '--untracked-files=no')
+    return (commit or 'unknown') + (' with changes' if modified else '')
 
 
 def _parse(arguments: t.Sequence[str]) -> argparse.Namespace:
@@ -63,8 +63,8 @@
     parser.add_argument(
         '--scenario', action='append', choices=sorted(registry.SCENARIOS)
     )
-    parser.add_argument('--seeds', type=int, default=_SEEDS)
-    parser.add_argument('--processes', type=int, default=_PROCESSES)
+    parser.add_argument('--seeds', type=int, default=_DEFAULT_SEEDS)
+    parser.add_argument('--processes', type=int, default=_DEFAULT_PROCESSES)
     parser.add_argument(
         '--output', type=pathlib.Path, default=pathlib.Path('measure-out')
     )
@@ -72,7 +72,7 @@
 
 
 def main(arguments: t.Sequence[str] = ()) -> int:
-    """Run the chosen scenarios and write what they measured."""
+    """Run the selected scenarios and write their measurements."""
     options = _parse(arguments)
     names = options.scenario or list(registry.SCENARIOS)
     seeds = range(1, options.seeds + 1)
