--- a/tests/decisions/test_interference.py
+++ b/tests/decisions/test_interference.py
@@ -6,7 +6,7 @@
 class EstimatorTest(base.TestCase):
     def test_aggressors_are_distinguished(self):
         estimator = interference.Estimator()
-        views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         coefficients = [
             estimator.find_coefficient('check', name, 0.3)
             for name in ('build', 'archive')
@@ -55,8 +55,8 @@
 
     def test_shift_is_learned_as_old_samples_decay(self):
         estimator = interference.Estimator(half_life=20.0)
-        views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
-        views.teach(
+        views.train(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(
             estimator, {'build': 0.1, 'archive': 4.0}, 0.15, begin=200.0
         )
         self.assertLess(estimator.find_coefficient('check', 'build', 0.3), 0.5)
@@ -72,8 +72,8 @@
         their effect on a service.
         """
         estimator = interference.Estimator()
-        views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
-        views.teach(
+        views.train(estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(
             estimator, {'build': 0.1, 'archive': 4.0}, 0.15, 40, begin=200.0
         )
         self.assertEqual(1, estimator.shift_count)
@@ -84,12 +84,12 @@
 
     def test_noise_is_not_detected_as_a_shift(self):
         estimator = interference.Estimator()
-        views.teach(estimator, {'build': 4.0, 'archive': 0.1}, 0.15, 2000)
+        views.train(estimator, {'build': 4.0, 'archive': 0.1}, 0.15, 2000)
         self.assertEqual(0, estimator.shift_count)
 
     def test_terms_add_up_to_the_prediction(self):
         estimator = interference.Estimator()
-        views.teach(estimator, {'build': 4.0, 'archive': 0.5}, 0.15)
+        views.train(estimator, {'build': 4.0, 'archive': 0.5}, 0.15)
         shares = {'archive': 0.25, 'build': 0.25}
         estimate = estimator.explain('check', shares, 0.3)
         self.assertEqual('build', estimate.terms[0].aggressor)
--- a/tests/decisions/test_ladder.py
+++ b/tests/decisions/test_ladder.py
@@ -29,7 +29,7 @@
         super().setUp()
         self.now = 0.0
         self.estimator = views.make_estimator()
-        views.teach(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         self.budget = ladder.EvictionBudget(lambda: self.now, 0.0, 2.0)
         self.ladder = ladder.Ladder(
             self.estimator,
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -10,7 +10,7 @@
     def setUp(self):
         super().setUp()
         self.estimator = views.make_estimator()
-        views.teach(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         self.placer = placement.Placer(
             self.estimator,
             objectives.Objectives(lambda workload: None),
@@ -88,7 +88,7 @@
         super().setUp()
         self.now = 0.0
         estimator = views.make_estimator()
-        views.teach(estimator, {'build': 4.0}, 0.15)
+        views.train(estimator, {'build': 4.0}, 0.15)
         self.placer = placement.Placer(
             estimator,
             objectives.Objectives(lambda workload: None),
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -10,7 +10,7 @@
         super().setUp()
         self.now = 0.0
         self.estimator = views.make_estimator()
-        views.teach(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
+        views.train(self.estimator, {'build': 4.0, 'archive': 0.1}, 0.15)
         self.router = routing.Router(
             self.estimator, lambda: self.now, random.Random(1), 0.001
         )
--- a/tests/instances.py
+++ b/tests/instances.py
@@ -18,18 +18,18 @@
 
 
 class BlockingTransport(httpx.ASGITransport):
-    """Delivers requests to the worker; blocks the next one to ``held``."""
+    """Delivers requests to the worker; blocks one to ``blocked_path``."""
 
     def __init__(self, app) -> None:
         super().__init__(app=app)
-        self.held = ''
+        self.blocked_path = ''
         self.arrived = anyio.Event()
         self.released = anyio.Event()
 
     async def handle_async_request(self, request):
         """See ``httpx.AsyncBaseTransport``."""
-        if self.held and request.url.path.endswith(self.held):
-            self.held = ''
+        if self.blocked_path and request.url.path.endswith(self.blocked_path):
+            self.blocked_path = ''
             self.arrived.set()
             await self.released.wait()
         return await super().handle_async_request(request)
@@ -63,7 +63,7 @@
         self.server = worker_module.WorkerServer(64, 250, 0)
         self.transport.app = self.server.app
 
-    def cut_worker(self) -> None:
+    def disconnect_worker(self) -> None:
         """Make every later request to the worker fail."""
 
         async def refuse(scope, receive, send):
@@ -133,12 +133,12 @@
         self.sidecars: dict[str, Instance] = {}
         self.entries: dict[str, t.Any] = {}
         self.calls: list[tuple[str, t.Any]] = []
-        self.down: set[str] = set()
+        self.unreachable: set[str] = set()
 
     async def call(self, address, stub, method, message, timeout):
         """See ``persimmonsail.links.Links.call``."""
         self.calls.append((method, message))
-        if address in self.down:
+        if address in self.unreachable:
             raise exceptions.LinkLost(f'{method} {address}')
         if method in ('Consent', 'Fence'):
             return await self._call_entry(address, method, message)
--- a/tests/partitioning/test_consents.py
+++ b/tests/partitioning/test_consents.py
@@ -64,7 +64,7 @@
         the partition, so the consent of the others is not sufficient.
         """
         self.end_lease()
-        self.links.down.add('two')
+        self.links.unreachable.add('two')
         self.assertFalse(await self.ask())
         self.assertFalse(self.authority.is_valid)
 
@@ -155,7 +155,7 @@
         promise; the consents that others have just given are still valid.
         """
         self.links.entries['one'] = consents.Promises('one', bool)
-        self.links.down.add('x')
+        self.links.unreachable.add('x')
         members = [records.Member('gone', 'x'), records.Member('one', 'one')]
         await self.fence.run(0, 2, members)
         self.assertEqual(
--- a/tests/partitioning/test_holder.py
+++ b/tests/partitioning/test_holder.py
@@ -203,7 +203,7 @@
         partition = Partition()
         instance = await partition.add('one')
         async with partition.hold() as found:
-            instance.transport.held = 'start'
+            instance.transport.blocked_path = 'start'
             await found.submit(make_submit('t'))
             await wait_for(found, instance.transport.arrived.is_set)
             await wait_for(
@@ -239,7 +239,7 @@
         async with partition.hold() as found:
             await found.submit(make_submit('w', 'watcher'))
             await wait_for(found, lambda: is_running(first, 'w'))
-            first.cut_worker()
+            first.disconnect_worker()
             second = await partition.add('two')
             await wait_for(found, lambda: is_running(second, 'w'))
 
@@ -483,7 +483,7 @@
         async with anyio.create_task_group() as network:
             partition.links.group = network
             async with partition.hold() as found:
-                instance.transport.held = 'start'
+                instance.transport.blocked_path = 'start'
                 await found.submit(make_submit('t'))
                 await wait_for(found, instance.transport.arrived.is_set)
             async with partition.hold() as found:
--- a/tests/sidecars/test_supervisor.py
+++ b/tests/sidecars/test_supervisor.py
@@ -74,7 +74,7 @@
         instance = await instances.Instance().open()
         await instance.supervisor.start(instance.make_start('w'))
         run = instance.find_run('w')
-        instance.transport.held = 'renew'
+        instance.transport.blocked_path = 'renew'
         renewal = instance.make_renew(('w', 1))
         async with anyio.create_task_group() as group:
             group.start_soon(instance.supervisor.renew, renewal)
@@ -144,7 +144,7 @@
         await instance.supervisor.renew(instance.make_renew(epoch=2))
         successor = await instances.Instance(instance.server).open()
         for supervised in (instance, successor):
-            supervised.cut_worker()
+            supervised.disconnect_worker()
             reply = await supervised.supervisor.renew(supervised.make_renew())
             self.assertEqual('a later epoch is known', reply.reason)
 
@@ -228,7 +228,7 @@
         renewal queries it, and the worker reports it as absent.
         """
         instance = await instances.Instance().open()
-        instance.transport.held = 'start'
+        instance.transport.blocked_path = 'start'
         replies = []
 
         async def start():
@@ -266,7 +266,7 @@
         start is in transit there, and finds nothing to commit.
         """
         instance = await instances.Instance().open()
-        instance.transport.held = 'start'
+        instance.transport.blocked_path = 'start'
         async with anyio.create_task_group() as group:
             group.start_soon(
                 instance.supervisor.start, instance.make_start('b')
--- a/tests/sidecars/test_supervisor_refusals.py
+++ b/tests/sidecars/test_supervisor_refusals.py
@@ -25,7 +25,7 @@
         """
         instance = await instances.Instance().open()
         await instance.supervisor.renew(instance.make_renew(epoch=2))
-        instance.cut_worker()
+        instance.disconnect_worker()
         await self.assert_not_run(instance, 'a later epoch is known')
 
     async def test_ticket_of_another_clock_is_refused(self):
@@ -40,7 +40,7 @@
 
     async def test_old_ticket_is_refused_without_the_worker(self):
         instance = await instances.Instance().open()
-        instance.cut_worker()
+        instance.disconnect_worker()
         old = instance.read_clock() - instances.LEASE
         await self.assert_not_run(instance, 'the lease is over', ticket=old)
 
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -18,7 +18,7 @@
     arriving = {'quick_load': 0.6, 'batch_load': 0.6, **load}
     return colocation.World(
         machines.TALLOWFORD,
-        interfering.Truth(STRENGTHS),
+        interfering.TrueInterference(STRENGTHS),
         colocation.Load(quick=QUICK, batch=BATCH, **arriving),
         colocation.Reporting(),
         baselines.POLICIES[policy],
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -3,8 +3,8 @@
 from tools.bench import tenancy
 
 KINDS = [
-    scenarios_limits.make_kind('build', 'a', 5.0, 1.0, idempotent=False),
-    scenarios_limits.make_kind('match', 'b', 5.0, 1.0),
+    scenarios_limits.make_workload('build', 'a', 5.0, 1.0, idempotent=False),
+    scenarios_limits.make_workload('match', 'b', 5.0, 1.0),
 ]
 
 
@@ -26,10 +26,10 @@
 
     def test_a_lost_zone_and_store_double_nothing(self):
         world = make_world()
-        world.clock.call_later(5.0, world.set_zone, 'b', False)
-        world.clock.call_later(8.0, world.set_store, True)
-        world.clock.call_later(15.0, world.set_store, False)
-        world.clock.call_later(18.0, world.set_zone, 'b', True)
+        world.clock.call_later(5.0, world.set_zone_alive, 'b', False)
+        world.clock.call_later(8.0, world.set_store_down, True)
+        world.clock.call_later(15.0, world.set_store_down, False)
+        world.clock.call_later(18.0, world.set_zone_alive, 'b', True)
         run = world.execute(20.0)
         self.assertEqual((0, 0), (run.lost, run.doubled))
         self.assertEqual(0, run.extras['unanswered'])
--- a/tests/views.py
+++ b/tests/views.py
@@ -39,7 +39,7 @@
     return interference.Sample(victim, seconds, count, shares, busy, at)
 
 
-def teach(estimator, coefficients, base_seconds, count=200, begin=0.0, seed=1):
+def train(estimator, coefficients, base_seconds, count=200, begin=0.0, seed=1):
     """Train on samples of a linear model with noise, one a second."""
     generator = random.Random(seed)
     for second in range(count):
--- a/tools/bench/colocation.py
+++ b/tools/bench/colocation.py
@@ -106,7 +106,7 @@
     def __init__(
         self,
         site: machines.Site,
-        truth: interfering.Truth,
+        truth: interfering.TrueInterference,
         load: Load,
         reporting: Reporting,
         make_policy: t.Callable[['World'], Policy],
--- a/tools/bench/interfering.py
+++ b/tools/bench/interfering.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass
-class Truth:
+class TrueInterference:
     """Interference strengths by (latency-critical class, batch class).
 
     ``crowding`` slows a batch task for each further task of its own
--- a/tools/bench/machines.py
+++ b/tools/bench/machines.py
@@ -93,7 +93,7 @@
     def __init__(
         self,
         clock: clock_module.EventQueue,
-        truth: interfering.Truth,
+        truth: interfering.TrueInterference,
         name: str,
         zone: str,
         rack: str,
@@ -308,7 +308,7 @@
 
 def make_workers(
     clock: clock_module.EventQueue,
-    truth: interfering.Truth,
+    truth: interfering.TrueInterference,
     site: Site,
     queue: int = 32,
 ) -> list[Worker]:
--- a/tools/bench/overload.py
+++ b/tools/bench/overload.py
@@ -34,7 +34,7 @@
     def __init__(self, gate: str, load: float, seed: int) -> None:
         super().__init__(
             machines.TALLOWFORD,
-            interfering.Truth({}),
+            interfering.TrueInterference({}),
             colocation.Load(load, 0.01, QUICK, BATCH),
             colocation.Reporting(),
             baselines.POLICIES['least-outstanding'],
--- a/tools/bench/scenarios_limits.py
+++ b/tools/bench/scenarios_limits.py
@@ -49,7 +49,7 @@
     return catalogue_module.parse('bench', '\n'.join(sections))
 
 
-def make_kind(
+def make_workload(
     name: str,
     team: str,
     seconds: float,
@@ -76,9 +76,9 @@
     capacity.
     """
     return [
-        make_kind('build', 'a', 30.0, rate, idempotent=False),
-        make_kind('match', 'b', 30.0, rate),
-        make_kind('sweep', 'c', 30.0, rate),
+        make_workload('build', 'a', 30.0, rate, idempotent=False),
+        make_workload('match', 'b', 30.0, rate),
+        make_workload('sweep', 'c', 30.0, rate),
     ]
 
 
@@ -148,7 +148,7 @@
         broken=True,
         burst=50,
     )
-    failing = make_kind('typo', 'b', 30.0, 0.1, broken=True, burst=50)
+    failing = make_workload('typo', 'b', 30.0, 0.1, broken=True, burst=50)
     world = make_world(
         policy, seed, [*make_healthy_workloads(), oversized, failing]
     )
@@ -190,8 +190,8 @@
     The offered work is 0.9 of the cores available to tasks.
     """
     workloads = [
-        make_kind('small', 'a', 30.0, 1.1, declared=0.25),
-        make_kind('large', 'b', 30.0, 1.1, declared=4.0),
+        make_workload('small', 'a', 30.0, 1.1, declared=0.25),
+        make_workload('large', 'b', 30.0, 1.1, declared=4.0),
     ]
     return make_world(policy, seed, workloads, cores=4000.0).execute(
         _RUN_SECONDS
@@ -215,9 +215,9 @@
     The quotas add up to ten times the fleet. ``least served`` is the
     lowest fraction of its demand that any other team had completed.
     """
-    greedy = make_kind('build-000', 'team-000', 10.0, 0.0, burst=2000)
+    greedy = make_workload('build-000', 'team-000', 10.0, 0.0, burst=2000)
     others = [
-        make_kind(f'build-{n:03d}', f'team-{n:03d}', 10.0, 0.03)
+        make_workload(f'build-{n:03d}', f'team-{n:03d}', 10.0, 0.03)
         for n in range(1, 150)
     ]
     world = make_world(policy, seed, [greedy, *others], cores=64.0)
@@ -259,9 +259,11 @@
     """Fail a zone's instances for a minute; they recover without tasks."""
     world = make_world(policy, seed, make_healthy_workloads())
     if policy != _UNDISTURBED:
-        world.clock.call_later(_FAULT_AT_SECONDS, world.set_zone, 'b', False)
         world.clock.call_later(
-            _FAULT_AT_SECONDS + 60.0, world.set_zone, 'b', True
+            _FAULT_AT_SECONDS, world.set_zone_alive, 'b', False
+        )
+        world.clock.call_later(
+            _FAULT_AT_SECONDS + 60.0, world.set_zone_alive, 'b', True
         )
     return world.execute(_RUN_SECONDS, drain=120.0)
 
@@ -271,9 +273,9 @@
     """Make the store unavailable for two minutes; running tasks continue."""
     world = make_world(policy, seed, make_healthy_workloads())
     if policy != _UNDISTURBED:
-        world.clock.call_later(_FAULT_AT_SECONDS, world.set_store, True)
+        world.clock.call_later(_FAULT_AT_SECONDS, world.set_store_down, True)
         world.clock.call_later(
-            _FAULT_AT_SECONDS + 120.0, world.set_store, False
+            _FAULT_AT_SECONDS + 120.0, world.set_store_down, False
         )
     return world.execute(_RUN_SECONDS + 60.0, drain=120.0)
 
--- a/tools/bench/scenarios_placement.py
+++ b/tools/bench/scenarios_placement.py
@@ -83,7 +83,7 @@
 ) -> colocation.World:
     return colocation.World(
         deployment.site,
-        interfering.Truth(dict(deployment.strengths)),
+        interfering.TrueInterference(dict(deployment.strengths)),
         load or deployment.make_load(),
         reporting or colocation.Reporting(),
         subject.find_policy(policy),
--- a/tools/bench/tenancy.py
+++ b/tools/bench/tenancy.py
@@ -441,7 +441,7 @@
 
         self.clock.call_later(COMMIT_SECONDS, end)
 
-    def set_store(self, down: bool) -> None:
+    def set_store_down(self, down: bool) -> None:
         """Make the store unavailable or available."""
         self.store_down = down
         if not down:
@@ -449,7 +449,7 @@
             for action in stalled:
                 self.commit(action)
 
-    def set_zone(self, zone: str, alive: bool) -> None:
+    def set_zone_alive(self, zone: str, alive: bool) -> None:
         """Fail a zone's instances or recover them without their tasks."""
         for node in self.nodes.values():
             if node.zone == zone:
