--- a/tools/binaries.py
+++ b/tools/binaries.py
@@ -1,8 +1,8 @@
-"""Weighs the ways to build the one file; results in docs/BINARY.md.
+"""Compares builders of the single-file binary; see docs/BINARY.md.
 
 Run ``python -m tools.binaries`` with the builders installed that the
-page names; one that is not installed is left out, and said so. It is
-no part of the tests.
+page names; one that is not installed is reported as not run. The tests
+do not use this module.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 from tools import binary
 
 _WARM_STARTS = 5
-_START_SECONDS = 30
+_START_TIMEOUT_SECONDS = 30
 _ROOT_VARIABLES = ('SHIV_ROOT', 'PEX_ROOT', 'TMPDIR')
 _LAUNCHER = 'from persimmonsail import cli\nimport sys\nsys.exit(cli.main())\n'
 
@@ -39,7 +39,7 @@
 
 
 def register(name: str) -> t.Callable[[Builder], Builder]:
-    """Add a way to build the file from a folder of libraries."""
+    """Register a builder of the binary from a folder of libraries."""
 
     def add(builder: Builder) -> Builder:
         BUILDERS[name] = builder
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Role:
-    """A running role: processes in all, threads, resident megabytes."""
+    """Processes, threads, resident memory and start time of a role."""
 
     processes: int
     threads: int
@@ -138,25 +138,25 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Weight:
-    """What one way of building came to; times are seconds."""
+class Measurement:
+    """Measurements of one builder; times are in seconds."""
 
     name: str
     size_mb: float
     unpacked_mb: float
-    cold: float
-    warm: float
+    cold_seconds: float
+    warm_seconds: float
     entry: Role
     sidecar: Role
 
     def format_row(self) -> str:
-        """Return a row of the page's table."""
+        """Return a row of the table in docs/BINARY.md."""
         cells = [
             self.name,
             f'{self.size_mb:.1f}',
             f'{self.unpacked_mb:.1f}',
-            f'{self.cold:.2f}',
-            f'{self.warm:.2f}',
+            f'{self.cold_seconds:.2f}',
+            f'{self.warm_seconds:.2f}',
         ]
         for role in (self.entry, self.sidecar):
             cells += [
@@ -169,68 +169,68 @@
 
 @contextlib.contextmanager
 def _unpack_to(root: pathlib.Path) -> t.Iterator[None]:
-    """Let programs that start in the context unpack below a folder."""
-    kept = dict(os.environ)
+    """Make programs started in the context unpack below a folder."""
+    saved_environment = dict(os.environ)
     os.environ.update({name: str(root) for name in _ROOT_VARIABLES})
     try:
         yield
     finally:
         os.environ.clear()
-        os.environ.update(kept)
+        os.environ.update(saved_environment)
 
 
-def _weigh_start(program: pathlib.Path) -> float:
-    begun = time.perf_counter()
+def _measure_start(program: pathlib.Path) -> float:
+    started_at = time.perf_counter()
     subprocess.run(
         [str(program), '--version'],
         check=True,
         capture_output=True,
-        timeout=_START_SECONDS,
+        timeout=_START_TIMEOUT_SECONDS,
     )
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
-def _weigh_folder(folder: pathlib.Path) -> float:
+def _measure_folder(folder: pathlib.Path) -> float:
     files = [path for path in folder.rglob('*') if path.is_file()]
     return sum(path.stat().st_size for path in files) / 1e6
 
 
-def _weigh_role(process: deployment.Process, seconds: float) -> Role:
-    top = psutil.Process(process.pid)
-    family = [top, *top.children(recursive=True)]
+def _measure_role(process: deployment.Process, seconds: float) -> Role:
+    root_process = psutil.Process(process.pid)
+    process_tree = [root_process, *root_process.children(recursive=True)]
     return Role(
-        len(family),
-        sum(member.num_threads() for member in family),
-        sum(member.memory_info().rss for member in family) / 1e6,
+        len(process_tree),
+        sum(member.num_threads() for member in process_tree),
+        sum(member.memory_info().rss for member in process_tree) / 1e6,
         seconds,
     )
 
 
-async def _weigh_roles(
+async def _measure_roles(
     program: pathlib.Path, directory: pathlib.Path
 ) -> tuple[Role, Role]:
     async with deployment.Deployment(directory, [str(program)]) as running:
         await running.start_store()
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         entry = await running.start_entry('entry-1')
-        entry_seconds = time.perf_counter() - begun
+        entry_seconds = time.perf_counter() - started_at
         control = entry.find('listening')[0]['control']
         worker = await running.start_stand_in('worker', 'worker-1')
         backend = await running.start_stand_in('backend', 'backend-1')
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         sidecar = await running.start_sidecar(
             'one', [control], worker, backend, 'planning'
         )
-        sidecar_seconds = time.perf_counter() - begun
+        sidecar_seconds = time.perf_counter() - started_at
         await entry.wait_event('announced', instance='one')
         return (
-            _weigh_role(entry, entry_seconds),
-            _weigh_role(sidecar, sidecar_seconds),
+            _measure_role(entry, entry_seconds),
+            _measure_role(sidecar, sidecar_seconds),
         )
 
 
-def weigh(name: str, directory: pathlib.Path) -> Weight:
-    """Build one way and measure what came out."""
+def measure(name: str, directory: pathlib.Path) -> Measurement:
+    """Build the binary with one builder and measure it."""
     site = directory / 'site'
     binary.collect(site)
     program = directory / 'out' / 'persimmonsail'
@@ -240,25 +240,25 @@
     root = directory / 'root'
     root.mkdir()
     with _unpack_to(root):
-        cold = _weigh_start(program)
-        warm = [_weigh_start(program) for _ in range(_WARM_STARTS)]
-        roles = anyio.run(_weigh_roles, program, directory / 'run')
-    return Weight(
+        cold_seconds = _measure_start(program)
+        warm_seconds = [_measure_start(program) for _ in range(_WARM_STARTS)]
+        roles = anyio.run(_measure_roles, program, directory / 'run')
+    return Measurement(
         name,
         program.stat().st_size / 1e6,
-        _weigh_folder(root),
-        cold,
-        statistics.median(warm),
+        _measure_folder(root),
+        cold_seconds,
+        statistics.median(warm_seconds),
         *roles,
     )
 
 
 def main() -> None:
-    """Print a table row for each builder, or why there is none."""
+    """Print a table row for each builder, or why it has none."""
     for name in sys.argv[1:] or BUILDERS:
         directory = tempfile.mkdtemp(prefix='persimmonsail-')
         try:
-            print(weigh(name, pathlib.Path(directory)).format_row())
+            print(measure(name, pathlib.Path(directory)).format_row())
         except BuilderMissing as error:
             print(f'| {name} | not run: {error} is not installed |')
         except subprocess.CalledProcessError as error:
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,8 +1,8 @@
-"""Builds the one shipped file: ``make binary``.
+"""Builds the single-file binary that is shipped: ``make binary``.
 
 The libraries come from the environment that runs this tool, at exactly
 the versions that ``requirements.txt`` pins, so that building needs no
-network. Why shiv: docs/BINARY.md.
+network. docs/BINARY.md explains the choice of shiv.
 """
 
 import compileall
@@ -25,39 +25,41 @@
 
 _FILE_MODE = stat.S_IFREG | 0o644
 
-# hdrhistogram declares them as if it ran with them; its modules import
-# neither.
-_DECLARED_ONLY = frozenset({'pbr', 'setuptools'})
+# hdrhistogram declares these as run-time dependencies, but its modules
+# import neither.
+_UNUSED_DEPENDENCIES = frozenset({'pbr', 'setuptools'})
 
 
-class WrongVersion(Exception):
-    """The environment has another version than is pinned."""
+class VersionMismatch(Exception):
+    """An installed version differs from the pinned one."""
 
 
 def read_pins(text: str) -> dict[str, str]:
-    """Return the pinned versions of the libraries that are shipped."""
+    """Return the pinned versions of the shipped libraries."""
     pins = {}
     for line in text.splitlines():
         name, separator, version = line.partition('==')
-        if separator and name not in _DECLARED_ONLY:
+        if separator and name not in _UNUSED_DEPENDENCIES:
             pins[name] = version.strip()
     return pins
 
 
 def collect(site: pathlib.Path) -> None:
-    """Copy the package and its pinned libraries to one folder.
+    """Copy the package and its pinned libraries into one folder.
 
     Raises
     ------
-    WrongVersion
-        If the environment does not have what is pinned.
+    VersionMismatch
+        If an installed version differs from the pinned one.
     """
     pins = read_pins(REQUIREMENTS.read_text(encoding='utf-8'))
     for name, version in pins.items():
-        found = importlib.metadata.distribution(name)
-        if found.version != version:
-            raise WrongVersion(f'{name}: {found.version}, not {version}')
-        _copy_distribution(found, site)
+        distribution = importlib.metadata.distribution(name)
+        if distribution.version != version:
+            raise VersionMismatch(
+                f'{name}: {distribution.version} found, {version} pinned'
+            )
+        _copy_distribution(distribution, site)
     shutil.copytree(
         PACKAGE,
         site / PACKAGE.name,
@@ -66,10 +68,10 @@
 
 
 def compile_sources(site: pathlib.Path) -> None:
-    """Compile all modules ahead of a process's first start.
+    """Compile all modules, so that no process does so at its start.
 
-    A process that compiles while it starts is slower and keeps some
-    megabytes more for its whole life.
+    Compiling at start-up is slower, and some megabytes of memory stay
+    allocated until the process ends.
     """
     compileall.compile_dir(
         site,
@@ -80,11 +82,11 @@
 
 
 def _copy_distribution(
-    found: importlib.metadata.Distribution, site: pathlib.Path
+    distribution: importlib.metadata.Distribution, site: pathlib.Path
 ) -> None:
-    for file in found.files or ():
-        outside = '..' in file.parts
-        if outside or '__pycache__' in file.parts:
+    for file in distribution.files or ():
+        is_outside = '..' in file.parts
+        if is_outside or '__pycache__' in file.parts:
             continue
         target = site / file
         target.parent.mkdir(parents=True, exist_ok=True)
@@ -92,7 +94,7 @@
 
 
 def build(output: pathlib.Path, *options: str) -> None:
-    """Write the one file; further options go to shiv."""
+    """Write the binary; further options are passed to shiv."""
     output.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(prefix='persimmonsail-') as directory:
         site = pathlib.Path(directory) / 'site'
@@ -105,7 +107,7 @@
 
 
 def _add_compiled(site: pathlib.Path, output: pathlib.Path) -> None:
-    # shiv passes compiled modules over.
+    # shiv leaves compiled modules out.
     with zipfile.ZipFile(output, 'a', zipfile.ZIP_DEFLATED) as archive:
         for path in sorted(site.rglob('*.pyc')):
             name = f'site-packages/{path.relative_to(site)}'
@@ -130,7 +132,7 @@
         '--output-file',
         str(output),
         '--python',
-        # Compiled libraries inside fit this version of the language.
+        # The bundled extension modules need this Python version.
         f'/usr/bin/env python{version}',
         '--compressed',
         '--reproducible',
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,9 @@
-"""The whole path on one machine: ``make demo``.
+"""End-to-end demo on one machine: ``make demo``.
 
 Starts stand-ins, two entries and three sidecars as processes, sends
-requests of all workloads through both entries, stops everything
-gracefully, audits the evidence, and prints one line of counts. Then jobs
-of several steps run on stand-ins of the users' platform.
+requests for all workloads through both entries, shuts everything down
+gracefully, audits the evidence, and prints one line of counts. Then runs
+multi-step jobs on stand-ins for the users' platform.
 """
 
 import collections
@@ -33,7 +33,7 @@
 
 
 class Demo:
-    """Sends the requests and counts what became of them."""
+    """Sends requests and counts their outcomes."""
 
     def __init__(self, running: deployment.Deployment) -> None:
         self._running = running
@@ -41,11 +41,11 @@
         self._addresses: list[str] = []
         self._workers: list[str] = []
         self._backends: list[str] = []
-        self._ran: list[str] = []
-        self._final_tasks: list[str] = []
+        self._answered_requests: list[str] = []
+        self._succeeded_tasks: list[str] = []
 
     async def start(self) -> None:
-        """Start all processes and put the catalogue in force."""
+        """Start all processes and apply the catalogue."""
         running = self._running
         await running.start_store()
         controls = []
@@ -69,7 +69,7 @@
         )
         print(output.strip())
         if code:
-            raise SystemExit('the catalogue was not accepted')
+            raise SystemExit('applying the example catalogue failed')
         for name in ('entry-1', 'entry-2'):
             entry = running.processes[name]
             await entry.wait_event('catalogue')
@@ -79,19 +79,19 @@
     async def _wait_partitions(self) -> None:
         with anyio.fail_after(deployment.START_SECONDS):
             while True:
-                opened = {
+                open_partitions = {
                     event['partition']
                     for name in ('entry-1', 'entry-2')
                     for event in self._running.processes[name].find(
                         'partition-opened'
                     )
                 }
-                if len(opened) == 8:
+                if len(open_partitions) == 8:
                     return
                 await anyio.sleep(0.1)
 
     async def send_all(self) -> None:
-        """Send every workload through both entries at once."""
+        """Send all workloads through both entries concurrently."""
         async with anyio.create_task_group() as group:
             for address in self._addresses:
                 for workload in _QUICK:
@@ -118,7 +118,7 @@
                 self.counts['broken'] += 1
             else:
                 self.counts['answered'] += 1
-                self._ran.append(answer.json()['request'])
+                self._answered_requests.append(answer.json()['request'])
 
     async def _send_builds(self, address: str, workload: str) -> None:
         async with anyio.create_task_group() as group:
@@ -137,7 +137,7 @@
         phase = final.json().get('phase')
         if phase == 'succeeded' and json.loads(final.json()['answer'])['done']:
             self.counts['answered'] += 1
-            self._final_tasks.append(task)
+            self._succeeded_tasks.append(task)
         elif phase == 'unknown':
             self.counts['unknown'] += 1
         else:
@@ -153,31 +153,33 @@
             url = f'http://{address}/v1/tasks/{task}'
             await self._running.client.delete(url)
             final = await self._running.client.get(url, params={'wait': 30})
-            ended = final.json().get('phase') == 'cancelled'
-            self.counts['answered' if ended else 'lost'] += 1
+            cancelled = final.json().get('phase') == 'cancelled'
+            self.counts['answered' if cancelled else 'lost'] += 1
 
     def _count_refusal(self, answer) -> None:
         unknown = answer.json().get('work') == 'unknown'
         self.counts['unknown' if unknown else 'refused'] += 1
 
     async def compare_records(self) -> None:
-        """Hold the answers against what workers and servers ran."""
-        ran: collections.Counter[str] = collections.Counter()
+        """Compare the answers with the records of workers and backends."""
+        run_counts: collections.Counter[str] = collections.Counter()
         for address in self._backends:
             for entry in await self._read_record(address):
-                ran[entry['request']] += 1
+                run_counts[entry['request']] += 1
         hedged = self._list_hedged()
-        for request in self._ran:
-            self.counts['lost'] += ran[request] == 0
-            # A slow idempotent request may be sent once more on purpose.
-            self.counts['doubled'] += ran[request] > 1 + (request in hedged)
-        started: collections.Counter[str] = collections.Counter()
+        for request in self._answered_requests:
+            self.counts['lost'] += run_counts[request] == 0
+            # A hedge runs a slow idempotent request a second time.
+            self.counts['doubled'] += run_counts[request] > 1 + (
+                request in hedged
+            )
+        start_counts: collections.Counter[str] = collections.Counter()
         for address in self._workers:
             for entry in await self._read_record(address):
-                started[entry['task']] += entry['event'] == 'started'
-        for task in self._final_tasks:
-            self.counts['lost'] += started[task] == 0
-            self.counts['doubled'] += started[task] > 1
+                start_counts[entry['task']] += entry['event'] == 'started'
+        for task in self._succeeded_tasks:
+            self.counts['lost'] += start_counts[task] == 0
+            self.counts['doubled'] += start_counts[task] > 1
 
     def _list_hedged(self) -> set[str]:
         return {
@@ -191,27 +193,27 @@
         return answer.json()
 
     async def stop(self) -> None:
-        """Stop the system's processes gracefully."""
+        """Stop the entries and sidecars gracefully."""
         names = [name for name, _, _ in _INSTANCES] + ['entry-1', 'entry-2']
         for name in names:
             code = await self._running.processes[name].stop()
             if code:
-                print(f'{name} ended with {code}')
+                print(f'{name} exited with code {code}')
                 self.counts['broken'] += 1
 
     def print_decisions(self, lines: int = 4) -> None:
-        """Show some decision lines."""
+        """Print some log lines of decisions."""
         for path in self._running.log_files:
-            found = [
+            decision_lines = [
                 line
                 for line in path.read_text(encoding='utf-8').splitlines()
                 if ' event=routing ' in line or ' event=placement ' in line
             ]
-            for line in found[: lines // 2]:
+            for line in decision_lines[: lines // 2]:
                 print(line)
 
     async def audit(self) -> str:
-        """Run the regulator's command on the evidence."""
+        """Run the ``audit`` command on the evidence."""
         files = [str(path) for path in self._running.evidence_files]
         code, output = await self._running.run_command(
             'audit', '--store', self._running.store, *files
@@ -236,13 +238,13 @@
     jobs = demo_jobs.JobsDemo(directory / 'jobs', program)
     await jobs.run()
     print(jobs.describe())
-    demo.counts.update(jobs.bad)
+    demo.counts.update(jobs.violations)
     names = ('answered', 'refused', 'unknown', 'lost', 'doubled')
     counts = ' '.join(f'{name}={demo.counts[name]}' for name in names)
     print(f'{counts} audit={verdict}')
-    bad = sum(demo.counts[n] for n in ('lost', 'doubled', 'broken'))
-    if bad or verdict != 'ok':
-        print(f'evidence is kept in {directory}', file=sys.stderr)
+    violations = sum(demo.counts[n] for n in ('lost', 'doubled', 'broken'))
+    if violations or verdict != 'ok':
+        print(f'evidence is retained in {directory}', file=sys.stderr)
         return 1
     shutil.rmtree(directory)
     return 0
--- a/tools/demo_jobs.py
+++ b/tools/demo_jobs.py
@@ -1,4 +1,4 @@
-"""The part of the demo that runs jobs of several steps."""
+"""The part of the demo that runs multi-step jobs."""
 
 import collections
 import pathlib
@@ -8,12 +8,12 @@
 
 from standins import platform_deployment
 
-_JOBS = 6
+_BUILD_JOBS = 6
 _QUEUE = 'builds'
-_END_SECONDS = 30.0
-_FINAL = ('complete', 'failed', 'cancelled')
+_JOB_TIMEOUT_SECONDS = 30.0
+_FINAL_PHASES = ('complete', 'failed', 'cancelled')
 _BUILD = {
-    # How long each task of the stand-in runs, in milliseconds.
+    # Run time of each task on the stand-in, in milliseconds.
     'payload': '80',
     'steps': [
         {'count': 3, 'size': {'millicores': 500}, 'estimate_ms': 80},
@@ -32,45 +32,45 @@
 
 
 class JobsDemo:
-    """Submits jobs through two entries and counts what became of them.
+    """Submits jobs through two entries and counts their outcomes.
 
     Attributes
     ----------
     phases : collections.Counter
-        How many jobs ended in each phase.
-    bad : collections.Counter
-        What must not happen: jobs lost, tasks doubled.
+        Number of jobs that ended in each phase.
+    violations : collections.Counter
+        Number of lost jobs and of tasks that ran twice.
     """
 
     def __init__(self, directory: pathlib.Path, program: list[str]) -> None:
         self.phases: collections.Counter[str] = collections.Counter()
-        self.bad: collections.Counter[str] = collections.Counter()
+        self.violations: collections.Counter[str] = collections.Counter()
         directory.mkdir()
         self._running = platform_deployment.Deployed(directory, program)
 
     async def run(self) -> None:
-        """Start everything, submit the jobs and wait for their ends."""
+        """Start all processes, submit the jobs and wait until they end."""
         async with self._running as running:
             for name in ('entry-1', 'entry-2'):
                 await running.start_entry(name)
             for name in ('side-1', 'side-2'):
                 await running.start_instance(name)
             async with anyio.create_task_group() as group:
-                for number in range(_JOBS):
+                for number in range(_BUILD_JOBS):
                     group.start_soon(self._run_build, f'build-{number}')
                 group.start_soon(self._run_watcher, 'watcher-1')
             starts = await running.list_starts()
-            found = platform_deployment.find_overlaps(starts)
-            self.bad['doubled'] += len(found)
+            overlaps = platform_deployment.find_overlaps(starts)
+            self.violations['doubled'] += len(overlaps)
 
     def describe(self) -> str:
         """Return one line of counts."""
-        counts = ' '.join(f'{p}={self.phases[p]}' for p in _FINAL)
-        return f'jobs: {counts} doubled={self.bad["doubled"]}'
+        counts = ' '.join(f'{p}={self.phases[p]}' for p in _FINAL_PHASES)
+        return f'jobs: {counts} doubled={self.violations["doubled"]}'
 
     async def _run_build(self, id: str) -> None:
         await self._call('PUT', id, _BUILD)
-        # The same job again, at the other entry.
+        # A retry of the same job at the other entry must have no effect.
         await self._call('PUT', id, _BUILD, 'entry-2')
         await self._wait_end(id, 'complete')
 
@@ -79,15 +79,15 @@
         await self._call('DELETE', id, entry='entry-2')
         await self._wait_end(id, 'cancelled')
 
-    async def _wait_end(self, id: str, wanted: str) -> None:
+    async def _wait_end(self, id: str, expected_phase: str) -> None:
         phase = ''
-        with anyio.move_on_after(_END_SECONDS):
-            while phase not in _FINAL:
+        with anyio.move_on_after(_JOB_TIMEOUT_SECONDS):
+            while phase not in _FINAL_PHASES:
                 await anyio.sleep(0.1)
                 answer = await self._call('GET', id)
                 phase = answer.json().get('phase', '')
         self.phases[phase] += 1
-        self.bad['lost'] += phase != wanted
+        self.violations['lost'] += phase != expected_phase
 
     async def _call(
         self,
--- a/tools/guard.py
+++ b/tools/guard.py
@@ -1,14 +1,14 @@
-"""One guard that the proofs lean on, and the tests that need it."""
+"""One guard that the proofs rely on, and the tests that cover it."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Guard:
-    """One guard: where it stands, and the source without it.
+    """A guard's source, and the source with the guard removed.
 
-    ``pattern`` stands exactly once in ``file``; ``replacement`` is the
-    same place with the guard taken out.
+    ``pattern`` occurs exactly once in ``file``; ``replacement`` is the
+    same source without the guard.
     """
 
     name: str
--- a/tools/guard_list.py
+++ b/tools/guard_list.py
@@ -1,4 +1,4 @@
-"""All guards that the proofs lean on."""
+"""All guards that the proofs rely on, except those of I9."""
 
 from tools import guards_holders
 from tools import guards_ledger
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -1,9 +1,8 @@
-"""Takes each guard out in turn and runs its tests: ``make guards``.
+"""Mutation tests of the guards: ``make guards``.
 
-A guard stands against one failure. If no test notices its removal,
-nothing proves that it works. Each guard is taken out of a copy of the
-tree, where its tests must then fail; they must pass in a copy that is
-left as it is.
+Each guard prevents one failure. If no test fails without it, nothing
+shows that it works. Each guard is removed in a copy of the tree, where
+its tests must then fail; they must pass in an unmodified copy.
 """
 
 import argparse
@@ -23,10 +22,17 @@
 from tools import guard_list_catalogue
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_COPIED = ('src', 'standins', 'tests', 'tools', 'examples', 'pyproject.toml')
-_WORKERS = 4
-_SECONDS = 100.0
-_UNTOUCHED_SECONDS = 600.0
+_COPIED_PATHS = (
+    'src',
+    'standins',
+    'tests',
+    'tools',
+    'examples',
+    'pyproject.toml',
+)
+_MAX_PARALLEL_RUNS = 4
+_TEST_TIMEOUT_SECONDS = 100.0
+_BASELINE_TIMEOUT_SECONDS = 600.0
 _PASSED = 0
 _FAILED = 1
 ALL_GUARDS = [*guard_list.GUARDS, *guard_list_catalogue.GUARDS]
@@ -34,32 +40,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What the tests said once a guard was gone.
+    """Outcome of the tests without a guard.
 
-    ``seen`` is yes, NO, or why the run says nothing.
+    ``noticed`` is yes, NO, or why the run is inconclusive.
     """
 
     guard: guard_module.Guard
-    seen: str
+    noticed: str
     seconds: float
 
 
 def find_misfits(root: pathlib.Path) -> list[str]:
-    """Return the guards whose source is not found exactly once."""
-    misfits = []
+    """Describe the guards whose pattern does not occur exactly once."""
+    mismatches = []
     for guard in ALL_GUARDS:
         path = root / guard.file
         count = 0
         if path.exists():
             count = path.read_text(encoding='utf-8').count(guard.pattern)
         if count != 1:
-            misfits.append(f'{guard.name}: found {count} times')
-    return misfits
+            mismatches.append(f'{guard.name}: found {count} times')
+    return mismatches
 
 
 def copy_tree(directory: pathlib.Path) -> None:
-    """Copy what the tests need."""
-    for name in _COPIED:
+    """Copy the files that the tests need."""
+    for name in _COPIED_PATHS:
         source = _ROOT / name
         if source.is_dir():
             ignored = shutil.ignore_patterns('__pycache__', '*.egg-info')
@@ -71,7 +77,7 @@
 def run_tests(
     directory: pathlib.Path, tests: tuple[str, ...], seconds: float
 ) -> int:
-    """Run tests in a copy and return pytest's code."""
+    """Run tests in a copy and return pytest's exit code."""
     process = subprocess.Popen(
         [sys.executable, '-m', 'pytest', '-x', '-q', *tests],
         cwd=directory,
@@ -87,15 +93,15 @@
     try:
         return process.wait(seconds)
     except subprocess.TimeoutExpired:
-        # The group is the tests' own: pytest and what it has started.
+        # The process group holds only pytest and its child processes.
         os.killpg(process.pid, signal.SIGKILL)
         process.wait()
         raise
 
 
-def try_guard(guard: guard_module.Guard) -> Result:
-    """Take one guard out of a copy and run its tests there."""
-    began = time.monotonic()
+def evaluate_guard(guard: guard_module.Guard) -> Result:
+    """Remove one guard in a copy of the tree and run its tests there."""
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory(prefix='persimmonsail-') as name:
         directory = pathlib.Path(name)
         copy_tree(directory)
@@ -103,59 +109,63 @@
         text = path.read_text(encoding='utf-8')
         path.write_text(text.replace(guard.pattern, guard.replacement))
         try:
-            seen = _name_seen(run_tests(directory, guard.tests, _SECONDS))
+            noticed = _describe_exit_code(
+                run_tests(directory, guard.tests, _TEST_TIMEOUT_SECONDS)
+            )
         except subprocess.TimeoutExpired:
-            seen = 'yes (tests hang)'
-    return Result(guard, seen, time.monotonic() - began)
+            noticed = 'yes (tests hang)'
+    return Result(guard, noticed, time.monotonic() - started_at)
 
 
-def _name_seen(code: int) -> str:
+def _describe_exit_code(code: int) -> str:
     if code == _FAILED:
         return 'yes'
     return 'NO' if code == _PASSED else f'no run (pytest {code})'
 
 
-def check_untouched(guards: list[guard_module.Guard]) -> int:
-    """Run all tests that are named in a copy that is left as it is."""
+def run_baseline(guards: list[guard_module.Guard]) -> int:
+    """Run the tests of all guards in an unmodified copy of the tree."""
     tests = sorted({test for guard in guards for test in guard.tests})
     with tempfile.TemporaryDirectory(prefix='persimmonsail-') as name:
         copy_tree(pathlib.Path(name))
-        return run_tests(pathlib.Path(name), tuple(tests), _UNTOUCHED_SECONDS)
+        return run_tests(
+            pathlib.Path(name), tuple(tests), _BASELINE_TIMEOUT_SECONDS
+        )
 
 
 def print_row(result: Result) -> None:
-    """Print a row of the table that docs/PROOFS.md has."""
+    """Print a row of the table in docs/PROOFS.md."""
     guard = result.guard
     tests = ', '.join(f'`{test}`' for test in guard.tests)
-    row = f'| {guard.name} | {guard.invariant} | {tests} | {result.seen} |'
+    row = f'| {guard.name} | {guard.invariant} | {tests} | {result.noticed} |'
     print(row, flush=True)
 
 
 def main() -> int:
-    """Try all guards, or those whose name has a word in it."""
+    """Test all guards, or those whose name contains a given word."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('words', nargs='*', help='part of a name')
     words = parser.parse_args().words
-    if misfits := find_misfits(_ROOT):
-        print('\n'.join(misfits))
+    if mismatches := find_misfits(_ROOT):
+        print('\n'.join(mismatches))
         return 1
     guards = [
         guard
         for guard in ALL_GUARDS
         if not words or any(word in guard.name for word in words)
     ]
-    code = check_untouched(guards)
+    code = run_baseline(guards)
     if code != _PASSED:
         print(f'the tests fail with every guard in place (pytest {code})')
         return 1
     print('| guard | invariant | tests | noticed |')
     print('| --- | --- | --- | --- |', flush=True)
-    with concurrent.futures.ThreadPoolExecutor(_WORKERS) as pool:
+    with concurrent.futures.ThreadPoolExecutor(_MAX_PARALLEL_RUNS) as pool:
         results = []
-        for result in pool.map(try_guard, guards):
+        for result in pool.map(evaluate_guard, guards):
             print_row(result)
             results.append(result)
-    unnoticed = [r for r in results if not r.seen.startswith('yes')]
+    unnoticed = [r for r in results if not r.noticed.startswith('yes')]
     print(f'guards={len(results)} not_noticed={len(unnoticed)}')
     return 1 if unnoticed else 0
 
--- a/tools/guards_holders.py
+++ b/tools/guards_holders.py
@@ -1,4 +1,4 @@
-"""The guards of a partition's one holder: leases, consents, silence."""
+"""Guards of a partition's single holder: leases, consents, timeouts."""
 
 from tools import guard
 
--- a/tools/guards_ledger.py
+++ b/tools/guards_ledger.py
@@ -1,4 +1,4 @@
-"""The guards of the ledger and of admission."""
+"""Guards of the ledger and of admission."""
 
 from tools import guard
 
--- a/tools/guards_requests.py
+++ b/tools/guards_requests.py
@@ -1,4 +1,4 @@
-"""The guards of quick requests: attempts, keys, stops."""
+"""Guards of quick requests: attempts, idempotency keys, shutdown."""
 
 from tools import guard
 
--- a/tools/guards_tasks.py
+++ b/tools/guards_tasks.py
@@ -1,4 +1,4 @@
-"""The guards of a task's one place: tickets, epochs, incarnations."""
+"""Guards against running a task twice: tickets, epochs, incarnations."""
 
 from tools import guard
 
--- a/tools/measure_audit.py
+++ b/tools/measure_audit.py
@@ -1,7 +1,7 @@
-"""How an audit's time and memory grow with the evidence.
+"""Measures how an audit's time and memory grow with the evidence.
 
 ``make measure-audit``: writes logs of a growing number of quick requests
-and tasks, audits each in a process of its own, and prints the slopes.
+and tasks, audits each in a separate process, and prints its costs.
 """
 
 import dataclasses
@@ -12,11 +12,11 @@
 
 from tests import scenarios
 
-_COPIES = (1000, 2000, 4000, 8000, 16000)
-_STEP = 5.0
-_FIRST = ('takeover', 'listening', 'catalogue', 'catalogue-accepted')
-_FIRST_SECONDS = 2.0
-_MEASURE = """
+_COPY_COUNTS = (1000, 2000, 4000, 8000, 16000)
+_STEP_SECONDS = 5.0
+_STARTUP_EVENTS = ('takeover', 'listening', 'catalogue', 'catalogue-accepted')
+_STARTUP_SECONDS = 2.0
+_MEASURE_SCRIPT = """
 import resource, sys, time
 from persimmonsail import cli
 began = time.perf_counter()
@@ -28,50 +28,56 @@
 
 
 def write_logs(directory: pathlib.Path, copies: int) -> int:
-    """Write a story's quick requests many times over.
+    """Write logs in which a scenario's quick requests are repeated.
 
     Returns
     -------
     int
-        How many lines were written.
+        Number of lines written.
     """
     scenario = scenarios.make_scenario()
-    repeated = [line for line in scenario.lines if 'request-' in line.format()]
-    other = [line for line in scenario.lines if line not in repeated]
-    paths = {}
+    repeated_lines = [
+        line for line in scenario.lines if 'request-' in line.format()
+    ]
+    other_lines = [
+        line for line in scenario.lines if line not in repeated_lines
+    ]
+    lines_by_process = {}
     lines = 0
-    first = -_STEP * copies
-    for line in other:
-        if line.event in _FIRST and line.time <= _FIRST_SECONDS:
-            line.time += first
-            paths.setdefault(line.process, []).append(line.format())
+    start_time = -_STEP_SECONDS * copies
+    for line in other_lines:
+        if line.event in _STARTUP_EVENTS and line.time <= _STARTUP_SECONDS:
+            line.time += start_time
+            lines_by_process.setdefault(line.process, []).append(line.format())
             lines += 1
     for number in range(copies):
-        for line in repeated:
-            copy = dataclasses.replace(line, time=line.time - number * _STEP)
+        for line in repeated_lines:
+            copy = dataclasses.replace(
+                line, time=line.time - number * _STEP_SECONDS
+            )
             text = copy.format().replace('request-', f'request-{number}-')
-            paths.setdefault(line.process, []).append(text)
+            lines_by_process.setdefault(line.process, []).append(text)
             lines += 1
-    for line in other:
-        if line.event in _FIRST and line.time <= _FIRST_SECONDS:
+    for line in other_lines:
+        if line.event in _STARTUP_EVENTS and line.time <= _STARTUP_SECONDS:
             continue
-        paths.setdefault(line.process, []).append(line.format())
+        lines_by_process.setdefault(line.process, []).append(line.format())
         lines += 1
-    for process, texts in paths.items():
+    for process, texts in lines_by_process.items():
         path = directory / f'{process}.log'
         path.write_text('\n'.join(texts) + '\n')
     return lines
 
 
 def measure(copies: int) -> None:
-    """Audit one size and print what it took."""
+    """Audit logs of one size and print the costs."""
     with tempfile.TemporaryDirectory(prefix='persimmonsail-') as name:
         directory = pathlib.Path(name)
         lines = write_logs(directory, copies)
         files = sorted(map(str, directory.glob('*.log')))
         size = sum(pathlib.Path(f).stat().st_size for f in files) / 1e6
         result = subprocess.run(
-            [sys.executable, '-c', _MEASURE, *files],
+            [sys.executable, '-c', _MEASURE_SCRIPT, *files],
             capture_output=True,
             text=True,
             check=True,
@@ -84,8 +90,8 @@
 
 
 def main() -> None:
-    """Measure every size."""
-    for copies in _COPIES:
+    """Measure all sizes."""
+    for copies in _COPY_COUNTS:
         measure(copies)
 
 
--- a/tools/slope_commands.py
+++ b/tools/slope_commands.py
@@ -1,4 +1,4 @@
-"""Series of the catalogue, and of the operators' and regulator's commands."""
+"""Series of catalogue changes and of the operator and audit commands."""
 
 import contextlib
 import random
@@ -15,17 +15,17 @@
 from tools import slope_meter
 from tools import slope_series as base
 
-_LOOK_SECONDS = 0.005
-_STORE_TIMEOUT = 2.0
-_CHANGES = 5
+_POLL_SECONDS = 0.005
+_STORE_TIMEOUT_SECONDS = 2.0
+_CHANGES_PER_POINT = 5
 
 
 @base.register('catalogue')
 async def measure_catalogue(
     plan: base.Plan,
 ) -> list[base.Series]:
-    """Grow the catalogue; a window holds one applied change."""
-    role = base.Series('entry', 'catalogue entries')
+    """Grow the catalogue; one change is applied in each window."""
+    entry_series = base.Series('entry', 'catalogue entries')
     apply = base.Series('catalogue apply', 'catalogue entries')
     show = base.Series('catalogue show', 'catalogue entries')
     async with base.Bench(plan.directory) as bench:
@@ -35,7 +35,7 @@
             path.write_text(base.make_catalogue(count), encoding='utf-8')
             store = ('--store', bench.running.store)
             async with anyio.create_task_group() as group:
-                group.start_soon(_note_sample, bench, plan, role, count)
+                group.start_soon(_add_sample, bench, plan, entry_series, count)
                 await anyio.sleep(base.SETTLE_SECONDS + 1)
                 sample = await _run_command(
                     'catalogue', 'apply', path, *store, '--base', 'head'
@@ -43,10 +43,10 @@
             apply.points.append((count, sample))
             sample = await _run_command('catalogue', 'show', *store)
             show.points.append((count, sample))
-    return [role, apply, show]
+    return [entry_series, apply, show]
 
 
-async def _note_sample(
+async def _add_sample(
     bench: base.Bench,
     plan: base.Plan,
     series: base.Series,
@@ -56,9 +56,10 @@
 
 
 async def _run_command(*arguments: object) -> slope_meter.Sample:
-    """Return the whole processor seconds and memory of a command.
+    """Return the total CPU seconds and peak memory of a command.
 
-    A refused command costs little, and would pass for a cheap one.
+    A failed command costs little and must not be recorded as a cheap
+    one, so that it raises an error.
     """
     program = [sys.executable, '-m', 'persimmonsail']
     handle = psutil.Popen(
@@ -69,17 +70,19 @@
     with contextlib.suppress(psutil.Error):
         while handle.status() != psutil.STATUS_ZOMBIE:
             peak = max(peak, handle.memory_info().rss)
-            await anyio.sleep(_LOOK_SECONDS)
+            await anyio.sleep(_POLL_SECONDS)
         times = handle.cpu_times()
         cpu = times.user + times.system
     if handle.wait():
-        raise RuntimeError(f'{arguments[0]} ended with {handle.returncode}')
+        raise RuntimeError(
+            f'{arguments[0]} ended with exit code {handle.returncode}'
+        )
     return slope_meter.Sample(cpu=cpu, rss_mb=peak / slope_meter.MEGABYTE)
 
 
 @base.register('audit')
 async def measure_audit(plan: base.Plan) -> list[base.Series]:
-    """Grow the events that the regulator's command reads."""
+    """Grow the number of events that the ``audit`` command reads."""
     series = base.Series('audit', 'events')
     plan.directory.mkdir(parents=True, exist_ok=True)
     for count in (5000, 10000, 20000, 40000):
@@ -91,7 +94,7 @@
 
 
 def make_events(count: int) -> str:
-    """Return log lines such as an entry writes."""
+    """Return log lines like those of an entry."""
     generator = random.Random(count)
     lines = []
     for number in range(count):
@@ -114,32 +117,43 @@
 async def measure_propagation(
     plan: base.Plan,
 ) -> list[base.Series]:
-    """Grow the entries that have to apply an accepted change."""
+    """Grow the entries that must apply an accepted change."""
     series = base.Series('catalogue propagation', 'entries')
     async with base.Bench(plan.directory) as bench:
-        store = httpstore.HttpStore(bench.running.store, _STORE_TIMEOUT)
-        kept = catalogue_store.CatalogueStore(store)
+        store = httpstore.HttpStore(
+            bench.running.store, _STORE_TIMEOUT_SECONDS
+        )
+        stored_catalogue = catalogue_store.CatalogueStore(store)
         text = base.make_catalogue(base.TEAMS)
         for count in (2, 4, 8, 14):
             while len(bench.entries) < count:
                 await bench.start_entry(
                     f'entry-{len(bench.entries)}', partitions=16
                 )
-            slowest = 0.0
-            for number in range(_CHANGES):
+            max_seconds = 0.0
+            for number in range(_CHANGES_PER_POINT):
                 text = f'{text}; {count} {number}\n'
-                slowest = max(slowest, await _change(bench, kept, text))
-            series.points.append((count, slope_meter.Sample(seconds=slowest)))
+                max_seconds = max(
+                    max_seconds,
+                    await _apply_change(bench, stored_catalogue, text),
+                )
+            series.points.append(
+                (count, slope_meter.Sample(seconds=max_seconds))
+            )
         await store.close()
     return [series]
 
 
-async def _change(
-    bench: base.Bench, kept: catalogue_store.CatalogueStore, text: str
+async def _apply_change(
+    bench: base.Bench,
+    stored_catalogue: catalogue_store.CatalogueStore,
+    text: str,
 ) -> float:
-    """Return the seconds from a swap until all entries apply it."""
-    head = await kept.swap(await kept.read(), text, 'slopes')
-    began = time.monotonic()
+    """Return the seconds from the swap until all entries have applied it."""
+    head = await stored_catalogue.swap(
+        await stored_catalogue.read(), text, 'slopes'
+    )
+    started_at = time.monotonic()
     for entry in bench.entries.values():
         await entry.wait_event('catalogue', revision=str(head.revision))
-    return time.monotonic() - began
+    return time.monotonic() - started_at
--- a/tools/slope_fakes.py
+++ b/tools/slope_fakes.py
@@ -1,7 +1,7 @@
-"""Load: many sidecars, or many entries, played by this one process.
+"""Load generator: simulates many sidecars or entries in one process.
 
-The sidecars announce themselves with the shipped announcer, so that a
-change of its protocol changes the load as well.
+The sidecars use the announcer of the product, so that the load follows
+changes of its protocol.
 """
 
 import contextlib
@@ -44,22 +44,22 @@
 
 
 @dataclasses.dataclass
-class _Running:
+class _RunningTask:
     attempt: int
     ends_at: float
     size: admission.Size
     renewed_at: float
 
 
-class _SilentWorker(workers.Worker):
-    """A worker that is never asked: no fake instance reports usage."""
+class _StubWorker(workers.Worker):
+    """A worker that is never queried: fake instances report no usage."""
 
     def __init__(self) -> None:
         self.boot = self.incarnation = ''
 
 
 class FakeSidecar(control_grpc.SidecarBase):
-    """One instance: admits every task and ends it after its time."""
+    """An instance: admits every task and ends it after ``task_seconds``."""
 
     def __init__(self, name: str, zone: str, proxy) -> None:
         self.name = name
@@ -70,12 +70,12 @@
         self.own.commitments = admission.Commitments(
             admission.Size(CORES, MEMORY_GB, 2)
         )
-        self.tasks: dict[str, _Running] = {}
+        self.tasks: dict[str, _RunningTask] = {}
         self._ref_sets = refsets.RefSetReader()
         self.announcer: announcer_module.Announcer
         self.scope = anyio.CancelScope()
         self.renewed = anyio.Event()
-        self.note_start: t.Callable[[], None] = lambda: None
+        self.on_start: t.Callable[[], None] = lambda: None
 
     async def listen(self) -> grpclib.server.Server:
         """Serve the control protocol behind the counting proxy."""
@@ -85,8 +85,8 @@
         await server.start(sock=sock)
         return server
 
-    def open_announcer(self, entries: t.Iterable[str], opened) -> None:
-        """Prepare to announce this instance to entries."""
+    def open_announcer(self, entries: t.Iterable[str], control_links) -> None:
+        """Create the announcer of this instance."""
         text = _SETTINGS.format(
             name=self.name,
             region=self.zone.rpartition('-')[0],
@@ -96,36 +96,40 @@
             entries=', '.join(entries),
         )
         settings = settings_module.parse('fake', text, 'sidecar')
-        limits = settings.sidecar
-        seen = colocation.Colocation(
+        sidecar_settings = settings.sidecar
+        colocation_state = colocation.Colocation(
             self.own,
-            _SilentWorker(),
-            limits.slots,
-            limits.usage_interval,
+            _StubWorker(),
+            sidecar_settings.slots,
+            sidecar_settings.usage_interval,
         )
         self.announcer = announcer_module.Announcer(
-            self.own, settings, self.proxy.address, opened, seen
+            self.own,
+            settings,
+            self.proxy.address,
+            control_links,
+            colocation_state,
         )
 
     async def Execute(self, stream) -> None:
-        """Quick requests are no part of the control cost."""
+        """Do nothing: quick requests do not count as control cost."""
 
     async def Settle(self, stream) -> None:
-        """Quick requests are no part of the control cost."""
+        """Do nothing: quick requests do not count as control cost."""
 
     async def StartTask(self, stream) -> None:
-        """Admit a task."""
+        """Admit a task unconditionally."""
         request = await stream.recv_message()
         self.own.record_revision(request.revision)
         size = admission.read_size(request.size)
         self.own.commitments.try_commit(f'task/{request.task}', size)
-        self.tasks[request.task] = _Running(
+        self.tasks[request.task] = _RunningTask(
             request.attempt,
             time.monotonic() + self.task_seconds,
             size,
             time.monotonic(),
         )
-        self.note_start()
+        self.on_start()
         await stream.send_message(
             control_pb2.StartTaskReply(
                 verdict=control_pb2.RUNNING,
@@ -138,7 +142,7 @@
         )
 
     async def Renew(self, stream) -> None:
-        """Tell how the tasks stand."""
+        """Report the states of the tasks."""
         request = await stream.recv_message()
         reply = control_pb2.RenewReply(
             incarnation=self.own.incarnation,
@@ -158,12 +162,12 @@
 
     def _describe_state(self, ref) -> control_pb2.TaskState:
         state = control_pb2.TaskState(task=ref.task, attempt=ref.attempt)
-        found = self.tasks.get(ref.task)
-        if found is None or found.attempt != ref.attempt:
+        running_task = self.tasks.get(ref.task)
+        if running_task is None or running_task.attempt != ref.attempt:
             state.phase = control_pb2.ABSENT
-        elif time.monotonic() < found.ends_at:
+        elif time.monotonic() < running_task.ends_at:
             state.phase = control_pb2.ACTIVE
-            found.renewed_at = time.monotonic()
+            running_task.renewed_at = time.monotonic()
         else:
             state.phase = control_pb2.SUCCEEDED
             state.answer = '{"done": true}'
@@ -186,27 +190,27 @@
 class FakeSidecars:
     """A growing number of instances; use inside ``async with``."""
 
-    def __init__(self, churn_seconds: float = 0.0) -> None:
+    def __init__(self, load_change_seconds: float = 0.0) -> None:
         self.sidecars: list[FakeSidecar] = []
-        self._churn_seconds = churn_seconds
-        self._made = 0
+        self._load_change_seconds = load_change_seconds
+        self._created = 0
         self.started = anyio.Event()
-        self._owned = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> 'FakeSidecars':
-        self._opened = self._owned.enter_context(links.Links())
-        self._group = await self._owned.enter_async_context(
+        self._links = self._exit_stack.enter_context(links.Links())
+        self._group = await self._exit_stack.enter_async_context(
             anyio.create_task_group()
         )
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
         self._group.cancel_scope.cancel()
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     @property
     def proxies(self) -> list[slope_meter.CountingProxy]:
-        """The counting proxies before the instances."""
+        """The counting proxies in front of the instances."""
         return [sidecar.proxy for sidecar in self.sidecars]
 
     async def grow(
@@ -214,66 +218,68 @@
     ) -> None:
         """Announce instances until there are ``count``."""
         while len(self.sidecars) < count:
-            self._made += 1
-            proxy = await self._owned.enter_async_context(
+            self._created += 1
+            proxy = await self._exit_stack.enter_async_context(
                 slope_meter.CountingProxy()
             )
-            name = f'fake-{self._made:04d}'
+            name = f'fake-{self._created:04d}'
             sidecar = FakeSidecar(name, zone, proxy)
             server = await sidecar.listen()
-            self._owned.callback(server.close)
-            opened = self._owned.enter_context(links.Links())
-            sidecar.open_announcer(entries, opened)
-            sidecar.note_start = self._note_start
+            self._exit_stack.callback(server.close)
+            control_links = self._exit_stack.enter_context(links.Links())
+            sidecar.open_announcer(entries, control_links)
+            sidecar.on_start = self._notify_started
             self.sidecars.append(sidecar)
             self._group.start_soon(self._announce, sidecar)
-            if self._churn_seconds:
-                self._group.start_soon(self._churn, sidecar)
+            if self._load_change_seconds:
+                self._group.start_soon(self._vary_load, sidecar)
             await anyio.sleep(0.002)
 
     async def wait_started(self, count: int) -> None:
-        """Wait until so many tasks run."""
+        """Wait until ``count`` tasks run."""
         while sum(len(s.tasks) for s in self.sidecars) < count:
             self.started = anyio.Event()
             await self.started.wait()
 
     async def wait_renewed(self, count: int, since: float) -> None:
-        """Wait until so many tasks were renewed after a time."""
+        """Wait until ``count`` tasks were renewed after ``since``."""
         for sidecar in self.sidecars:
             while not all(
                 task.renewed_at > since for task in sidecar.tasks.values()
             ):
                 sidecar.renewed = anyio.Event()
                 await sidecar.renewed.wait()
-        held = sum(len(sidecar.tasks) for sidecar in self.sidecars)
-        if held != count:
-            raise RuntimeError(f'{held} tasks are held, not {count}')
+        task_count = sum(len(sidecar.tasks) for sidecar in self.sidecars)
+        if task_count != count:
+            raise RuntimeError(
+                f'{task_count} tasks run on the fake instances, not {count}'
+            )
 
-    def lose(self, count: int) -> list[FakeSidecar]:
-        """Let the last instances go silent, and return them."""
-        lost = self.sidecars[-count:]
+    def disconnect_last(self, count: int) -> list[FakeSidecar]:
+        """Disconnect the most recently added instances and return them."""
+        disconnected = self.sidecars[-count:]
         del self.sidecars[-count:]
-        for sidecar in lost:
+        for sidecar in disconnected:
             sidecar.scope.cancel()
-            sidecar.proxy.silent = True
-        return lost
+            sidecar.proxy.discarding = True
+        return disconnected
 
-    def _note_start(self) -> None:
+    def _notify_started(self) -> None:
         self.started.set()
 
     async def _announce(self, sidecar: FakeSidecar) -> None:
         with sidecar.scope:
             await sidecar.announcer.run()
 
-    async def _churn(self, sidecar: FakeSidecar) -> None:
-        # A busy instance's load differs at nearly every look at it.
+    async def _vary_load(self, sidecar: FakeSidecar) -> None:
+        # A busy instance's load differs in nearly every report.
         while True:
             sidecar.own.busy_slots = (sidecar.own.busy_slots + 1) % 8
-            await anyio.sleep(self._churn_seconds)
+            await anyio.sleep(self._load_change_seconds)
 
 
 class FakeEntry:
-    """An entry that only answers announcements, as for a full zone."""
+    """An entry that only answers announcements, as in a full zone."""
 
     async def Link(self, stream) -> None:
         """Answer each report."""
--- a/tools/slope_fit.py
+++ b/tools/slope_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and what they foretell."""
+"""Linear regression of measured costs, and predictions from it."""
 
 import dataclasses
 import statistics
@@ -8,7 +8,7 @@
 
 
 class TooFewPoints(ValueError):
-    """A line was asked for through too few different points."""
+    """There are too few different points to fit a line."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -18,32 +18,31 @@
     Attributes
     ----------
     slope : float
-        Cost for each unit of the driver.
+        Cost per unit of the driver.
     intercept : float
-        Cost at a driver of nought.
+        Cost at a driver of zero.
     residual : float
-        Root of the mean squared distance from the points, in the
-        cost's unit.
-    reach : float
-        The largest driver that was measured.
+        Root mean square error, in the cost's unit.
+    max_driver : float
+        The largest measured driver.
     """
 
     slope: float
     intercept: float
     residual: float
-    reach: float
+    max_driver: float
 
     def predict(self, driver: float) -> float:
-        """Return the cost at a driver, also beyond those measured."""
+        """Return the cost at a driver, extrapolated beyond ``max_driver``."""
         return self.intercept + self.slope * driver
 
     def stretch(self, driver: float) -> float:
-        """Return how many times beyond the reach a driver lies."""
-        return driver / self.reach
+        """Return a driver as a multiple of the largest measured one."""
+        return driver / self.max_driver
 
 
 def fit_line(points: t.Iterable[tuple[float, float]]) -> Fit:
-    """Fit a line through points of driver and cost.
+    """Fit a line to points of driver and cost.
 
     Raises
     ------
@@ -54,7 +53,9 @@
     drivers = [driver for driver, _ in pairs]
     costs = [cost for _, cost in pairs]
     if len(set(drivers)) < MIN_POINTS:
-        raise TooFewPoints(f'{len(set(drivers))} drivers of {MIN_POINTS}')
+        raise TooFewPoints(
+            f'{len(set(drivers))} different drivers of {MIN_POINTS} needed'
+        )
     slope, intercept = statistics.linear_regression(drivers, costs)
     squares = [
         (cost - intercept - slope * driver) ** 2 for driver, cost in pairs
@@ -65,5 +66,5 @@
 
 
 def find_miss(predicted: float, budget: float) -> float:
-    """Return the factor by which a budget is missed; 0 if it is kept."""
+    """Return the factor by which a budget is exceeded, or 0."""
     return predicted / budget if predicted > budget else 0.0
--- a/tools/slope_meter.py
+++ b/tools/slope_meter.py
@@ -1,4 +1,4 @@
-"""Meters: what a process, a link and the store spend in a while."""
+"""Meters of the resource use of a process, its links and the store."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 import psutil
 
 MEGABYTE = 1 << 20
-_CHUNK = 1 << 16
+_CHUNK_BYTES = 1 << 16
 
 
 @dataclasses.dataclass(frozen=True)
@@ -21,17 +21,17 @@
     Attributes
     ----------
     cpu : float
-        Processor seconds a second.
+        CPU seconds per second; for a command, in total.
     rss_mb : float
-        Resident memory at the window's end.
+        Resident memory at the window's end; for a command, its peak.
     link_bytes : float
-        Bytes a second on control links, both ways.
+        Bytes per second on control links, in both directions.
     store_bytes : float
-        Bytes a second to and from the store.
+        Bytes per second to and from the store.
     reads, writes, watches : float
-        Store calls a second; for a recovery, all that it took.
+        Store calls per second; for a recovery, in total.
     seconds : float
-        How long a recovery or a command took.
+        Duration of a recovery or of a catalogue change.
     """
 
     cpu: float = 0.0
@@ -50,14 +50,14 @@
 class CountingProxy:
     """Forwards TCP connections and counts their bytes.
 
-    Use inside ``async with``; ``target`` may be set after its start,
-    and ``silent`` makes it swallow everything.
+    Use inside ``async with``; ``target`` may be set after the start.
+    While ``discarding`` is set, all received data is dropped.
     """
 
     def __init__(self, target: str = '') -> None:
         self.target = target
         self.bytes = 0
-        self.silent = False
+        self.discarding = False
         self.address = ''
 
     async def __aenter__(self) -> 'CountingProxy':
@@ -74,18 +74,18 @@
     async def _forward(self, reader, writer) -> None:
         host, _, port = self.target.rpartition(':')
         try:
-            far = await asyncio.open_connection(host, int(port))
+            upstream = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.close()
             return
         async with anyio.create_task_group() as group:
-            group.start_soon(self._copy, reader, far[1])
-            group.start_soon(self._copy, far[0], writer)
+            group.start_soon(self._copy, reader, upstream[1])
+            group.start_soon(self._copy, upstream[0], writer)
 
     async def _copy(self, reader, writer) -> None:
         with contextlib.suppress(OSError):
-            while chunk := await reader.read(_CHUNK):
-                if self.silent:
+            while chunk := await reader.read(_CHUNK_BYTES):
+                if self.discarding:
                     continue
                 self.bytes += len(chunk)
                 writer.write(chunk)
@@ -94,7 +94,7 @@
 
 
 class Meter:
-    """Measures one process together with its links and the store."""
+    """Measures one process with its links and the store."""
 
     def __init__(
         self,
@@ -109,12 +109,12 @@
         self._store = store
 
     async def measure(self, seconds: float) -> Sample:
-        """Return the costs of the next seconds."""
+        """Return the costs over the next ``seconds``."""
         calls = await read_calls(self._store)
         cpu, link, store = self._read()
-        began = time.monotonic()
+        started_at = time.monotonic()
         await anyio.sleep(seconds)
-        elapsed = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         cpu_after, link_after, store_after = self._read()
         calls_after = await read_calls(self._store)
         rates = {
@@ -141,7 +141,7 @@
 
 
 async def read_calls(store: str) -> dict[str, int]:
-    """Return the calls that a store stand-in has counted."""
+    """Return the call counts of a store stand-in."""
     if not store:
         return {}
     async with httpx.AsyncClient(trust_env=False) as client:
--- a/tools/slope_recovery.py
+++ b/tools/slope_recovery.py
@@ -1,4 +1,4 @@
-"""Series of recoveries: how long until every task has a place again."""
+"""Series of recoveries: time until every task is placed or renewed."""
 
 import signal
 import time
@@ -9,26 +9,26 @@
 from tools import slope_series
 
 _INSTANCES = 40
-_PATIENCE_SECONDS = 90.0
+_RECOVERY_TIMEOUT_SECONDS = 90.0
 
 
-class _Watch:
-    """Times a recovery, and counts the store calls that it took."""
+class _RecoveryTimer:
+    """Times a recovery and counts its store calls."""
 
     def __init__(self, store: str) -> None:
         self._store = store
 
-    async def __aenter__(self) -> '_Watch':
+    async def __aenter__(self) -> '_RecoveryTimer':
         self._calls = await slope_meter.read_calls(self._store)
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
         return None
 
     async def end(self) -> slope_meter.Sample:
-        """Return what passed since the beginning."""
-        seconds = time.monotonic() - self.began
+        """Return the duration and the store calls since the start."""
+        seconds = time.monotonic() - self.started_at
         calls = await slope_meter.read_calls(self._store)
         before = self._calls
         return slope_meter.Sample(
@@ -41,7 +41,7 @@
 
 @slope_series.register('lost')
 async def measure_lost(plan: slope_series.Plan) -> list[slope_series.Series]:
-    """Lose instances at once; their tasks are placed elsewhere."""
+    """Lose instances simultaneously; their tasks are placed elsewhere."""
     series = slope_series.Series('recovery of instances', 'tasks lost')
     async with slope_series.Bench(plan.directory) as bench:
         await bench.start_entry('entry-0', partitions=1)
@@ -50,14 +50,16 @@
         await bench.submit(_INSTANCES * 10)
         entry = bench.entries['entry-0']
         for count in (1, 2, 4, 8):
-            placed = len(entry.find('placement'))
-            async with _Watch(bench.running.store) as watch:
-                lost = bench.sidecars.lose(count)
-                tasks = sum(len(sidecar.tasks) for sidecar in lost)
+            placed_before = len(entry.find('placement'))
+            async with _RecoveryTimer(bench.running.store) as timer:
+                disconnected = bench.sidecars.disconnect_last(count)
+                tasks = sum(len(sidecar.tasks) for sidecar in disconnected)
                 await entry.wait_event(
-                    'placement', placed + tasks, seconds=_PATIENCE_SECONDS
+                    'placement',
+                    placed_before + tasks,
+                    seconds=_RECOVERY_TIMEOUT_SECONDS,
                 )
-                series.points.append((tasks, await watch.end()))
+                series.points.append((tasks, await timer.end()))
     return [series]
 
 
@@ -65,7 +67,7 @@
 async def measure_restarted(
     plan: slope_series.Plan,
 ) -> list[slope_series.Series]:
-    """Kill all entries at once; their tasks' leases are renewed again."""
+    """Kill all entries and restart them; their tasks' leases are renewed."""
     series = slope_series.Series('recovery of all entries', 'tasks held')
     names = ['entry-0', 'entry-1']
     for count in (100, 200, 400, 800):
@@ -79,15 +81,15 @@
             for name in names:
                 await bench.entries[name].wait_event('announced', _INSTANCES)
             await _submit_spread(bench, count)
-            async with _Watch(bench.running.store) as watch:
+            async with _RecoveryTimer(bench.running.store) as timer:
                 for name in names:
                     await bench.entries[name].stop(signal.SIGKILL)
                 killed_at = time.monotonic()
                 for name in names:
                     await bench.start_entry(name, partitions=4)
-                with anyio.fail_after(_PATIENCE_SECONDS):
+                with anyio.fail_after(_RECOVERY_TIMEOUT_SECONDS):
                     await bench.sidecars.wait_renewed(count, killed_at)
-                series.points.append((count, await watch.end()))
+                series.points.append((count, await timer.end()))
     return [series]
 
 
@@ -97,7 +99,7 @@
         for number in range(count):
             workload = f'build-{number % slope_series.TEAMS}'
             group.start_soon(_post, bench, workload, limiter)
-    with anyio.fail_after(_PATIENCE_SECONDS):
+    with anyio.fail_after(_RECOVERY_TIMEOUT_SECONDS):
         await bench.sidecars.wait_started(count)
 
 
--- a/tools/slope_series.py
+++ b/tools/slope_series.py
@@ -1,4 +1,4 @@
-"""The series of measurements: one driver grows, all else stays."""
+"""Series of measurements in which one driver grows at a time."""
 
 import contextlib
 import dataclasses
@@ -17,10 +17,10 @@
 
 TEAMS = 150
 SETTLE_SECONDS = 2.0
-_CHURN_SECONDS = 1.0
-_SUBMITTERS = 32
+_LOAD_CHANGE_SECONDS = 1.0
+_MAX_CONCURRENT_POSTS = 32
 _TASK_SECONDS = 1.0
-_POST_TRIES = 100
+_MAX_POST_ATTEMPTS = 100
 
 
 @dataclasses.dataclass
@@ -36,28 +36,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """How long each point is measured, and where files go."""
+    """The directory for files, and the seconds that a point is measured."""
 
     directory: pathlib.Path
-    window: float = 6.0
+    window_seconds: float = 6.0
 
 
-Run = t.Callable[[Plan], t.Awaitable[list[Series]]]
-SERIES: dict[str, Run] = {}
+SeriesFunction = t.Callable[[Plan], t.Awaitable[list[Series]]]
+SERIES: dict[str, SeriesFunction] = {}
 
 
-def register(name: str) -> t.Callable[[Run], Run]:
-    """Add a series under the name that ``--only`` takes."""
+def register(name: str) -> t.Callable[[SeriesFunction], SeriesFunction]:
+    """Register a series under a name for ``--only``."""
 
-    def add(run: Run) -> Run:
-        SERIES[name] = run
-        return run
+    def add(function: SeriesFunction) -> SeriesFunction:
+        SERIES[name] = function
+        return function
 
     return add
 
 
 def make_catalogue(workloads: int, teams: int = TEAMS) -> str:
-    """Return catalogue text with this many workloads."""
+    """Return the text of a catalogue with ``workloads`` workloads."""
     lines = []
     for team in range(teams):
         lines += [
@@ -88,29 +88,29 @@
 
     def __init__(self, directory: pathlib.Path) -> None:
         self.running = deployment.Deployment(directory)
-        self.sidecars = slope_fakes.FakeSidecars(_CHURN_SECONDS)
+        self.sidecars = slope_fakes.FakeSidecars(_LOAD_CHANGE_SECONDS)
         self.entries: dict[str, deployment.Process] = {}
         self.links: dict[str, slope_meter.CountingProxy] = {}
         self.store_links: dict[str, slope_meter.CountingProxy] = {}
-        self._owned = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> 'Bench':
-        await self._owned.enter_async_context(self.running)
-        await self._owned.enter_async_context(self.sidecars)
+        await self._exit_stack.enter_async_context(self.running)
+        await self._exit_stack.enter_async_context(self.sidecars)
         await self.running.start_store()
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     async def start_entry(
         self, name: str, zone: str = 'piedmont-a', **options: object
     ) -> None:
-        """Start an entry whose links all go through proxies.
+        """Start an entry whose links all go through counting proxies.
 
-        Started again under its name, it is found at the same address.
+        An entry that is restarted under its name keeps its address.
         """
-        enter = self._owned.enter_async_context
+        enter = self._exit_stack.enter_async_context
         if name not in self.links:
             self.links[name] = await enter(slope_meter.CountingProxy())
             self.store_links[name] = await enter(
@@ -128,7 +128,7 @@
         self.entries[name] = entry
 
     async def apply(self, text: str) -> None:
-        """Put a catalogue in force in every entry."""
+        """Apply a catalogue and wait until every entry uses it."""
         code, output = await self.running.apply_catalogue(text)
         if code:
             raise RuntimeError(output)
@@ -137,7 +137,7 @@
             await entry.wait_event('catalogue', revision=revision)
 
     def open_meter(self, name: str) -> slope_meter.Meter:
-        """Return the meter of one entry and of the store."""
+        """Return a meter of one entry and of the store."""
         return slope_meter.Meter(
             self.entries[name].pid,
             [self.links[name], *self.sidecars.proxies],
@@ -146,19 +146,19 @@
         )
 
     async def announce(self, count: int, name: str = 'entry-0') -> None:
-        """Grow the fake instances, and wait until all are known."""
+        """Grow the fake instances and wait until the entry knows them all."""
         await self.sidecars.grow(count, [self.links[name].address])
         await self.entries[name].wait_event('announced', count)
 
     async def submit(self, count: int, name: str = 'entry-0') -> None:
-        """Have an entry accept tasks, and wait for their claims."""
-        placed = len(self.entries[name].find('placement'))
-        limiter = anyio.CapacityLimiter(_SUBMITTERS)
+        """Submit tasks to an entry and wait until they are placed."""
+        placed_before = len(self.entries[name].find('placement'))
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_POSTS)
         async with anyio.create_task_group() as group:
             for _ in range(count):
                 group.start_soon(self._submit_one, name, limiter)
         await self.entries[name].wait_event(
-            'placement', placed + count, seconds=120.0
+            'placement', placed_before + count, seconds=120.0
         )
 
     async def _submit_one(self, name: str, limiter) -> None:
@@ -166,11 +166,11 @@
             await self.post(name)
 
     async def post(self, name: str, workload: str = 'build-0') -> None:
-        """Send one caller's request for a task."""
+        """Submit one task, retrying until it is accepted."""
         address = self.entries[name].find('listening')[0]['http']
         headers = {'idempotency-key': uuid.uuid4().hex}
-        for _ in range(_POST_TRIES):
-            # A kept connection may end in the moment it is used again.
+        for _ in range(_MAX_POST_ATTEMPTS):
+            # A keep-alive connection may be closed just as it is reused.
             with contextlib.suppress(httpx.TransportError):
                 answer = await self.running.client.post(
                     f'http://{address}/v1/workloads/{workload}/requests',
@@ -179,20 +179,20 @@
                 if answer.status_code in (200, 202):
                     return
             await anyio.sleep(0.2)
-        raise RuntimeError('no entry accepts the task')
+        raise RuntimeError('the entry did not accept the task')
 
 
 async def measure(
     bench: Bench, plan: Plan, name: str = 'entry-0'
 ) -> slope_meter.Sample:
-    """Return an entry's costs once things have settled."""
+    """Return an entry's costs after ``SETTLE_SECONDS``."""
     await anyio.sleep(SETTLE_SECONDS)
-    return await bench.open_meter(name).measure(plan.window)
+    return await bench.open_meter(name).measure(plan.window_seconds)
 
 
 @register('announced')
 async def measure_announced(plan: Plan) -> list[Series]:
-    """Grow the sidecars announced to one entry."""
+    """Grow the number of sidecars announced to one entry."""
     series = Series('entry', 'sidecars announced')
     async with Bench(plan.directory) as bench:
         await bench.start_entry('entry-0', partitions=1)
@@ -205,23 +205,23 @@
 
 @register('held')
 async def measure_held(plan: Plan) -> list[Series]:
-    """Grow the tasks held by one holder, on 60 instances."""
+    """Grow the number of tasks held by one holder, on 60 instances."""
     series = Series('holder', 'tasks held')
     async with Bench(plan.directory) as bench:
         await bench.start_entry('entry-0', partitions=1)
         await bench.apply(make_catalogue(TEAMS))
         await bench.announce(60)
-        held = 0
+        submitted = 0
         for count in (150, 300, 600, 1200):
-            await bench.submit(count - held)
-            held = count
+            await bench.submit(count - submitted)
+            submitted = count
             series.points.append((count, await measure(bench, plan)))
     return [series]
 
 
 @register('spread')
 async def measure_spread(plan: Plan) -> list[Series]:
-    """Grow the instances over which one holder's tasks spread."""
+    """Grow the number of instances that run one holder's tasks."""
     series = Series('holder', 'instances with its tasks')
     for count in (20, 40, 80, 160):
         async with Bench(plan.directory / str(count)) as bench:
@@ -235,29 +235,29 @@
 
 @register('starts')
 async def measure_starts(plan: Plan) -> list[Series]:
-    """Grow the task starts a second; callers use another entry."""
+    """Grow the task starts per second; callers use another entry."""
     holder = Series('holder', 'starts a second')
-    front = Series('entry', 'tasks forwarded a second')
+    forwarder = Series('entry', 'tasks forwarded a second')
     async with Bench(plan.directory) as bench:
         names = ['entry-0', 'entry-1']
         for name in names:
             await bench.start_entry(name, partitions=1)
         await bench.apply(make_catalogue(TEAMS))
-        held = partitions.prefer_entry(0, names)
-        caller = next(name for name in names if name != held)
-        await bench.announce(40, held)
+        holder_name = partitions.prefer_entry(0, names)
+        caller = next(name for name in names if name != holder_name)
+        await bench.announce(40, holder_name)
         for sidecar in bench.sidecars.sidecars:
             sidecar.task_seconds = _TASK_SECONDS
         for rate in (5, 10, 20, 40):
-            samples = await _load(bench, plan, rate, held, caller)
-            holder.points.append((rate, samples[held]))
-            front.points.append((rate, samples[caller]))
-    return [holder, front]
+            samples = await _load(bench, plan, rate, holder_name, caller)
+            holder.points.append((rate, samples[holder_name]))
+            forwarder.points.append((rate, samples[caller]))
+    return [holder, forwarder]
 
 
 @register('commits')
 async def measure_commits(plan: Plan) -> list[Series]:
-    """Grow the starts a second over four partitions of one holder."""
+    """Grow the starts per second over four partitions of one holder."""
     series = Series('holder of 4 partitions', 'starts a second')
     async with Bench(plan.directory) as bench:
         await bench.start_entry('entry-0', partitions=4)
@@ -272,7 +272,7 @@
 
 
 async def _load(
-    bench: Bench, plan: Plan, rate: int, held: str, caller: str
+    bench: Bench, plan: Plan, rate: int, holder_name: str, caller: str
 ) -> dict[str, slope_meter.Sample]:
     samples: dict[str, slope_meter.Sample] = {}
 
@@ -280,20 +280,20 @@
         samples[name] = await measure(bench, plan, name)
 
     async def send(group) -> None:
-        began = time.monotonic()
-        sent = 0
+        started_at = time.monotonic()
+        sent_count = 0
         while True:
-            sent += 1
-            workload = f'build-{sent % TEAMS}'
+            sent_count += 1
+            workload = f'build-{sent_count % TEAMS}'
             group.start_soon(bench.post, caller, workload)
-            due = began + sent / rate
-            await anyio.sleep(max(due - time.monotonic(), 0.0))
+            due_at = started_at + sent_count / rate
+            await anyio.sleep(max(due_at - time.monotonic(), 0.0))
 
     async with anyio.create_task_group() as posts:
         async with anyio.create_task_group() as group:
             group.start_soon(send, posts)
             async with anyio.create_task_group() as meters:
-                for name in {held, caller}:
+                for name in {holder_name, caller}:
                     meters.start_soon(measure_one, name)
             group.cancel_scope.cancel()
     return samples
@@ -301,7 +301,7 @@
 
 @register('partitions')
 async def measure_partitions(plan: Plan) -> list[Series]:
-    """Grow the partitions that one idle entry holds."""
+    """Grow the number of partitions that one idle entry holds."""
     series = Series('entry', 'partitions held')
     for count in (4, 8, 16, 32):
         async with Bench(plan.directory / str(count)) as bench:
@@ -315,7 +315,7 @@
 
 @register('entries')
 async def measure_entries(plan: Plan) -> list[Series]:
-    """Grow the idle entries around one store and 16 partitions."""
+    """Grow the number of idle entries with one store and 16 partitions."""
     series = Series('entry', 'entries')
     async with Bench(plan.directory) as bench:
         for count in (1, 2, 4, 8, 14):
--- a/tools/slope_sidecar.py
+++ b/tools/slope_sidecar.py
@@ -15,7 +15,7 @@
 
 @base.register('linked')
 async def measure_linked(plan: base.Plan) -> list[base.Series]:
-    """Grow the entries to which one idle sidecar is linked."""
+    """Grow the number of entries to which one idle sidecar is linked."""
     series = base.Series('sidecar', 'entries linked')
     async with deployment.Deployment(plan.directory) as running:
         worker = await running.start_stand_in('worker', 'worker')
@@ -31,12 +31,12 @@
     worker: str,
     count: int,
 ) -> slope_meter.Sample:
-    async with contextlib.AsyncExitStack() as owned:
-        opened = [
-            await owned.enter_async_context(slope_fakes.open_fake_entry())
+    async with contextlib.AsyncExitStack() as stack:
+        fake_entries = [
+            await stack.enter_async_context(slope_fakes.open_fake_entry())
             for _ in range(count)
         ]
-        proxies = [proxy for _, proxy in opened]
+        proxies = [proxy for _, proxy in fake_entries]
         sidecar = await running.start_sidecar(
             f'sidecar-{count}',
             [proxy.address for proxy in proxies],
@@ -46,7 +46,7 @@
         )
         await anyio.sleep(base.SETTLE_SECONDS)
         meter = slope_meter.Meter(sidecar.pid, proxies)
-        sample = await meter.measure(plan.window)
+        sample = await meter.measure(plan.window_seconds)
         await sidecar.stop(signal.SIGKILL)
     return sample
 
@@ -55,19 +55,19 @@
 async def measure_running(
     plan: base.Plan,
 ) -> list[base.Series]:
-    """Grow the tasks that run on one real sidecar's instance."""
+    """Grow the number of tasks on the instance of one real sidecar."""
     series = base.Series('sidecar', 'tasks on its instance')
     async with base.Bench(plan.directory) as bench:
         await bench.start_entry('entry-0', partitions=1)
         await bench.apply(base.make_catalogue(base.TEAMS))
         async with _open_sidecar(bench) as (sidecar, links):
-            held = 0
+            submitted = 0
             for count in (10, 20, 40, 80):
-                await bench.submit(count - held)
-                held = count
+                await bench.submit(count - submitted)
+                submitted = count
                 await anyio.sleep(base.SETTLE_SECONDS)
                 meter = slope_meter.Meter(sidecar.pid, links)
-                sample = await meter.measure(plan.window)
+                sample = await meter.measure(plan.window_seconds)
                 series.points.append((count, sample))
     return [series]
 
@@ -76,7 +76,7 @@
 async def measure_renewing(
     plan: base.Plan,
 ) -> list[base.Series]:
-    """Grow the partitions with tasks on one real sidecar's instance."""
+    """Grow the partitions whose tasks run on one real sidecar's instance."""
     series = base.Series('sidecar', 'partitions with tasks on its instance')
     for count in (1, 2, 4, 8):
         async with base.Bench(plan.directory / str(count)) as bench:
@@ -92,14 +92,14 @@
                 )
                 await anyio.sleep(base.SETTLE_SECONDS)
                 meter = slope_meter.Meter(sidecar.pid, links)
-                sample = await meter.measure(plan.window)
+                sample = await meter.measure(plan.window_seconds)
                 series.points.append((count, sample))
     return [series]
 
 
 @contextlib.asynccontextmanager
 async def _open_sidecar(bench: base.Bench):
-    """Run a real sidecar with a worker stand-in behind proxies."""
+    """Run a real sidecar and a worker stand-in behind a counting proxy."""
     running = bench.running
     worker = await running.start_stand_in('worker', 'worker')
     async with slope_meter.CountingProxy() as proxy:
--- a/tools/slope_sizes.py
+++ b/tools/slope_sizes.py
@@ -1,7 +1,7 @@
-"""The size designed for, and each role's costs there.
+"""The design size, and the predicted costs of each role at it.
 
 A cost is the sum of one series' intercept and, for each driver of the
-role, the driver's slope times its value at the size designed for.
+role, the driver's slope times its value at the design size.
 """
 
 import dataclasses
@@ -18,9 +18,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fleet:
-    """What the slopes are stretched to.
+    """The design size, to which the fitted lines are extrapolated.
 
-    ``links`` is the number of sidecars linked to one entry;
+    ``linked_sidecars`` is the number of sidecars linked to one entry;
     ``spread`` the number of instances with tasks of one holder.
     """
 
@@ -31,23 +31,23 @@
     tasks: int = 17300
     starts: float = 210.0
     workloads: int = 2450
-    links: int = 840
+    linked_sidecars: int = 840
     entries_linked: int = 14
 
     @property
     def tasks_held(self) -> float:
-        """Tasks of one holder."""
+        """Mean number of tasks of one holder."""
         return self.tasks / self.entries
 
     @property
     def spread(self) -> float:
-        """Instances on which one holder's tasks run, placed evenly."""
-        missing = (1 - 1 / self.workers) ** self.tasks_held
-        return self.workers * (1 - missing)
+        """Expected instances with one holder's tasks at uniform placement."""
+        unused_share = (1 - 1 / self.workers) ** self.tasks_held
+        return self.workers * (1 - unused_share)
 
     @property
     def tasks_running(self) -> float:
-        """Tasks on one instance."""
+        """Mean number of tasks on one instance."""
         return self.tasks / self.workers
 
 
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Term:
-    """One driver's part in a role's cost."""
+    """One driver's contribution to a role's cost."""
 
     role: str
     driver: str
@@ -67,7 +67,7 @@
 ROLES: dict[str, tuple[Term, ...]] = {
     'entry, links and catalogue': (
         Term('entry', 'partitions held', lambda f: 0.0, True),
-        Term('entry', 'sidecars announced', lambda f: f.links),
+        Term('entry', 'sidecars announced', lambda f: f.linked_sidecars),
         Term('entry', 'entries', lambda f: f.entries - 1),
         Term('entry', 'catalogue entries', lambda f: f.workloads),
     ),
@@ -94,7 +94,7 @@
 
 
 def predict_role(terms: t.Iterable[Term], fits: Fits, fleet: Fleet, cost: str):
-    """Return a role's cost at the size, or nothing if not measured."""
+    """Return a role's cost at a size, or None if a driver lacks a fit."""
     total = 0.0
     for term in terms:
         fit = fits.get((term.role, term.driver), {}).get(cost)
@@ -114,7 +114,7 @@
 
 
 def format_sizes(fits: Fits, fleet: Fleet) -> t.Iterator[str]:
-    """Yield a line for each role and cost, with the budget's miss."""
+    """Yield a line for each role and cost, with its budget and verdict."""
     for role, terms in ROLES.items():
         for cost, budget in BUDGETS.items():
             value = predict_role(terms, fits, fleet, cost)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,8 +1,8 @@
 """Measures how the cost of each role grows: ``make slopes``.
 
 Every series starts real processes and small stand-ins on loopback,
-lets one driver grow over at least four points, and prints each cost's
-straight line and residual. Bytes are those of the TCP streams.
+grows one driver over at least four points, and prints the fitted line
+and the residual of each cost. Bytes are those of the TCP streams.
 """
 
 import argparse
@@ -25,14 +25,14 @@
 from tools import slope_sidecar  # noqa: F401
 from tools import slope_sizes
 
-_QUICK_WINDOW = 2.0
+_QUICK_WINDOW_SECONDS = 2.0
 _MIN_SLOPE = 1e-12
 
 
 def print_series(
     series: slope_series.Series,
 ) -> dict[str, slope_fit.Fit]:
-    """Print the points of one series, and return each cost's line."""
+    """Print the points of one series and return the fit of each cost."""
     print(f'\n## {series.role} by {series.driver}')
     print('driver ' + ' '.join(slope_meter.COSTS))
     for driver, sample in series.points:
@@ -51,8 +51,8 @@
     return fits
 
 
-def print_head(window: float) -> None:
-    """Print what the figures were taken from."""
+def print_header(window_seconds: float) -> None:
+    """Print the commit, the machine and the settings of the run."""
     commit = subprocess.run(
         ['git', 'describe', '--always', '--dirty'],
         capture_output=True,
@@ -63,17 +63,17 @@
     print(f'# slopes run={now:%Y-%m-%dT%H:%MZ} commit={commit}')
     print(
         f'# python={sys.version.split()[0]} cores={psutil.cpu_count()} '
-        f'load={psutil.getloadavg()[0]:.1f} window={window}'
+        f'load={psutil.getloadavg()[0]:.1f} window={window_seconds}'
     )
 
 
-async def run(names: list[str], window: float) -> None:
-    """Run the named series one after the other."""
+async def run(names: list[str], window_seconds: float) -> None:
+    """Run the named series one after another."""
     directory = pathlib.Path(tempfile.mkdtemp(prefix='persimmonsail-slopes-'))
     fits: slope_sizes.Fits = {}
     try:
         for name in names:
-            plan = slope_series.Plan(directory / name, window)
+            plan = slope_series.Plan(directory / name, window_seconds)
             for series in await slope_series.SERIES[name](plan):
                 key = (series.role, series.driver)
                 fits[key] = print_series(series)
@@ -86,26 +86,28 @@
         print(line)
 
 
-def count_left() -> int:
-    """Return how many processes of this run still live."""
+def count_leftover_processes() -> int:
+    """Return the number of child processes that still run."""
     return len(psutil.Process().children(recursive=True))
 
 
 def main() -> int:
-    """Measure, and fail if a process was left behind."""
-    known = list(slope_series.SERIES)
+    """Run the measurements; fail if a child process is left running."""
+    series_names = list(slope_series.SERIES)
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--quick', action='store_true', help='short windows')
-    parser.add_argument('--only', nargs='+', choices=known, default=known)
+    parser.add_argument(
+        '--only', nargs='+', choices=series_names, default=series_names
+    )
     arguments = parser.parse_args()
-    window = _QUICK_WINDOW if arguments.quick else 6.0
-    # Without this a SIGTERM would leave the measured processes behind.
+    window_seconds = _QUICK_WINDOW_SECONDS if arguments.quick else 6.0
+    # By default SIGTERM would leave the measured processes running.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    print_head(window)
-    anyio.run(run, arguments.only, window)
-    left = count_left()
-    print(f'\n# processes left behind: {left}')
-    return 1 if left else 0
+    print_header(window_seconds)
+    anyio.run(run, arguments.only, window_seconds)
+    leftover = count_leftover_processes()
+    print(f'\n# processes left behind: {leftover}')
+    return 1 if leftover else 0
 
 
 if __name__ == '__main__':
