--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 
 class GuardsTest(base.TestCase):
     def test_each_guard_stands_exactly_once_in_its_file(self):
-        self.assertEqual([], guards.find_misfits(ROOT))
+        self.assertEqual([], guards.find_mismatches(ROOT))
 
     def test_each_guard_has_a_name_of_its_own_and_existing_tests(self):
         names = [guard.name for guard in guards.ALL_GUARDS]
@@ -23,5 +23,5 @@
 
     def test_a_guard_without_its_source_is_a_misfit(self):
         directory = self.make_directory()
-        misfits = guards.find_misfits(directory)
+        misfits = guards.find_mismatches(directory)
         self.assertEqual(len(guards.ALL_GUARDS), len(misfits))
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -27,7 +27,7 @@
         self.assertAlmostEqual(3.0, fit.intercept)
         self.assertAlmostEqual(0.0, fit.residual)
         self.assertAlmostEqual(53.0, fit.predict(100))
-        self.assertEqual(12.5, fit.stretch(100))
+        self.assertEqual(12.5, fit.extrapolation_factor(100))
 
     def test_the_residual_is_in_the_unit_of_the_cost(self):
         fit = slope_fit.fit_line([(1, 2), (2, 0), (3, 0), (4, 2)])
@@ -40,8 +40,8 @@
             slope_fit.fit_line([(1, 1), (2, 2), (3, 3), (3, 3.1)])
 
     def test_a_miss_is_the_factor_over_the_budget(self):
-        self.assertEqual(0.0, slope_fit.find_miss(0.019, 0.019))
-        self.assertAlmostEqual(3.0, slope_fit.find_miss(0.057, 0.019))
+        self.assertEqual(0.0, slope_fit.find_overrun(0.019, 0.019))
+        self.assertAlmostEqual(3.0, slope_fit.find_overrun(0.057, 0.019))
 
 
 class SizesTest(base.TestCase):
@@ -52,21 +52,23 @@
                 'cpu': make_fit(0.0001, 5.0)
             },
         }
-        fleet = slope_sizes.Fleet(workers=100, tasks=2000, entries_linked=4)
+        fleet = slope_sizes.DesignSize(
+            workers=100, tasks=2000, linked_entries=4
+        )
         terms = slope_sizes.ROLES['sidecar']
         value = slope_sizes.predict_role(terms, fits, fleet, 'cpu')
         self.assertAlmostEqual(0.01 + 0.004 + 0.002, value)
 
     def test_an_unmeasured_driver_gives_no_figure(self):
         terms = slope_sizes.ROLES['sidecar']
-        fleet = slope_sizes.Fleet()
+        fleet = slope_sizes.DesignSize()
         self.assertIsNone(slope_sizes.predict_role(terms, {}, fleet, 'cpu'))
 
     def test_misses_are_named_with_their_factor(self):
         fits = {
             ('holder', 'starts a second'): {'link_bytes': make_fit(1024, 0)}
         }
-        fleet = slope_sizes.Fleet(entries=1, starts=8)
+        fleet = slope_sizes.DesignSize(entries=1, starts=8)
         lines = list(slope_sizes.format_sizes(fits, fleet))
         self.assertEqual(
             [
@@ -77,7 +79,7 @@
         )
 
     def test_tasks_spread_over_fewer_instances_than_there_are(self):
-        fleet = slope_sizes.Fleet()
+        fleet = slope_sizes.DesignSize()
         self.assertLess(fleet.spread, fleet.workers)
         self.assertGreater(fleet.spread, fleet.workers / 2)
 
@@ -115,7 +117,9 @@
         self.patch(slope_series, 'SETTLE_SECONDS', 0.0)
         plan = slope_series.Plan(pathlib.Path())
         bench = StillBench()
-        samples = await slope_series._load(bench, plan, 5, 'a', 'b')
+        samples = await slope_series._measure_under_load(
+            bench, plan, 5, 'a', 'b'
+        )
         self.assertEqual({'a', 'b'}, set(samples))
 
     def test_the_measured_catalogue_is_valid(self):
@@ -147,6 +151,6 @@
         # has to name the revision it began at, only its first point was
         # a change, and nothing looked at the command's exit code.
         with testtools.ExpectedException(RuntimeError, 'catalogue ended'):
-            await slope_commands._run_command(
+            await slope_commands._measure_command(
                 'catalogue', 'apply', 'missing.ini', '--store', '127.0.0.1:1'
             )
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -50,7 +50,7 @@
     seconds: float
 
 
-def find_misfits(root: pathlib.Path) -> list[str]:
+def find_mismatches(root: pathlib.Path) -> list[str]:
     """Describe the guards whose pattern does not occur exactly once."""
     mismatches = []
     for guard in ALL_GUARDS:
@@ -146,7 +146,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('words', nargs='*', help='part of a name')
     words = parser.parse_args().words
-    if mismatches := find_misfits(_ROOT):
+    if mismatches := find_mismatches(_ROOT):
         print('\n'.join(mismatches))
         return 1
     guards = [
--- a/tools/slope_commands.py
+++ b/tools/slope_commands.py
@@ -37,11 +37,11 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(_add_sample, bench, plan, entry_series, count)
                 await anyio.sleep(base.SETTLE_SECONDS + 1)
-                sample = await _run_command(
+                sample = await _measure_command(
                     'catalogue', 'apply', path, *store, '--base', 'head'
                 )
             apply.points.append((count, sample))
-            sample = await _run_command('catalogue', 'show', *store)
+            sample = await _measure_command('catalogue', 'show', *store)
             show.points.append((count, sample))
     return [entry_series, apply, show]
 
@@ -55,7 +55,7 @@
     series.points.append((count, await base.measure(bench, plan)))
 
 
-async def _run_command(*arguments: object) -> slope_meter.Sample:
+async def _measure_command(*arguments: object) -> slope_meter.Sample:
     """Return the total CPU seconds and peak memory of a command.
 
     A failed command costs little and must not be recorded as a cheap
@@ -88,7 +88,7 @@
     for count in (5000, 10000, 20000, 40000):
         path = plan.directory / f'{count}.log'
         path.write_text(make_events(count), encoding='utf-8')
-        sample = await _run_command('audit', path)
+        sample = await _measure_command('audit', path)
         series.points.append((count, sample))
     return [series]
 
--- a/tools/slope_fit.py
+++ b/tools/slope_fit.py
@@ -36,7 +36,7 @@
         """Return the cost at a driver, extrapolated beyond ``max_driver``."""
         return self.intercept + self.slope * driver
 
-    def stretch(self, driver: float) -> float:
+    def extrapolation_factor(self, driver: float) -> float:
         """Return a driver as a multiple of the largest measured one."""
         return driver / self.max_driver
 
@@ -65,6 +65,6 @@
     )
 
 
-def find_miss(predicted: float, budget: float) -> float:
+def find_overrun(predicted: float, budget: float) -> float:
     """Return the factor by which a budget is exceeded, or 0."""
     return predicted / budget if predicted > budget else 0.0
--- a/tools/slope_series.py
+++ b/tools/slope_series.py
@@ -249,7 +249,9 @@
         for sidecar in bench.sidecars.sidecars:
             sidecar.task_seconds = _TASK_SECONDS
         for rate in (5, 10, 20, 40):
-            samples = await _load(bench, plan, rate, holder_name, caller)
+            samples = await _measure_under_load(
+                bench, plan, rate, holder_name, caller
+            )
             holder.points.append((rate, samples[holder_name]))
             forwarder.points.append((rate, samples[caller]))
     return [holder, forwarder]
@@ -266,12 +268,14 @@
         for sidecar in bench.sidecars.sidecars:
             sidecar.task_seconds = _TASK_SECONDS
         for rate in (5, 10, 20, 40):
-            samples = await _load(bench, plan, rate, 'entry-0', 'entry-0')
+            samples = await _measure_under_load(
+                bench, plan, rate, 'entry-0', 'entry-0'
+            )
             series.points.append((rate, samples['entry-0']))
     return [series]
 
 
-async def _load(
+async def _measure_under_load(
     bench: Bench, plan: Plan, rate: int, holder_name: str, caller: str
 ) -> dict[str, slope_meter.Sample]:
     samples: dict[str, slope_meter.Sample] = {}
--- a/tools/slope_sizes.py
+++ b/tools/slope_sizes.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Fleet:
+class DesignSize:
     """The design size, to which the fitted lines are extrapolated.
 
     ``linked_sidecars`` is the number of sidecars linked to one entry;
@@ -32,7 +32,7 @@
     starts: float = 210.0
     workloads: int = 2450
     linked_sidecars: int = 840
-    entries_linked: int = 14
+    linked_entries: int = 14
 
     @property
     def tasks_held(self) -> float:
@@ -60,7 +60,7 @@
 
     role: str
     driver: str
-    value: t.Callable[[Fleet], float]
+    value: t.Callable[[DesignSize], float]
     with_intercept: bool = False
 
 
@@ -87,13 +87,15 @@
         ),
     ),
     'sidecar': (
-        Term('sidecar', 'entries linked', lambda f: f.entries_linked, True),
+        Term('sidecar', 'entries linked', lambda f: f.linked_entries, True),
         Term('sidecar', 'tasks on its instance', lambda f: f.tasks_running),
     ),
 }
 
 
-def predict_role(terms: t.Iterable[Term], fits: Fits, fleet: Fleet, cost: str):
+def predict_role(
+    terms: t.Iterable[Term], fits: Fits, fleet: DesignSize, cost: str
+):
     """Return a role's cost at a size, or None if a driver lacks a fit."""
     total = 0.0
     for term in terms:
@@ -113,13 +115,13 @@
 }
 
 
-def format_sizes(fits: Fits, fleet: Fleet) -> t.Iterator[str]:
+def format_sizes(fits: Fits, fleet: DesignSize) -> t.Iterator[str]:
     """Yield a line for each role and cost, with its budget and verdict."""
     for role, terms in ROLES.items():
         for cost, budget in BUDGETS.items():
             value = predict_role(terms, fits, fleet, cost)
             if value is None:
                 continue
-            factor = slope_fit.find_miss(value, budget)
+            factor = slope_fit.find_overrun(value, budget)
             verdict = f'missed {factor:.1f}x' if factor else 'kept'
             yield f'{role} | {cost} | {value:.4g} | {budget:g} | {verdict}'
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -82,7 +82,7 @@
     finally:
         shutil.rmtree(directory, ignore_errors=True)
     print('\n## at the size designed for: role | cost | is | budget')
-    for line in slope_sizes.format_sizes(fits, slope_sizes.Fleet()):
+    for line in slope_sizes.format_sizes(fits, slope_sizes.DesignSize()):
         print(line)
 
 
