--- a/tools/binds.py
+++ b/tools/binds.py
@@ -1,8 +1,8 @@
-"""Prints what held jobs up on a day, from its logs: `make binds`.
+"""Prints what delayed the jobs of a day, from its logs: `make binds`.
 
-For each queue: how long its jobs took, and where that time went. A run's
-time counts as held back for the part of its speed that it was paced down
-by, and as lost if the run did not end as done.
+For each queue: how long its jobs took, and how that time was spent. A run's
+time counts as held for the share by which the run was throttled, and as
+lost if the run did not end as done.
 """
 
 import argparse
@@ -17,15 +17,15 @@
 
 from persimmonsail import logs
 
-# A line of a played day: the day's time, the machine, and what it wrote.
-_PLAYED = re.compile(r'\s*(-?[\d.]+) (\S+) (time=.*)')
+# A line of a played day: the day's time, the machine, and its log line.
+_LOG_LINE = re.compile(r'\s*(-?[\d.]+) (\S+) (time=.*)')
 _MILLISECONDS = 1000
-_FULL_PACE = 100.0
+_FULL_SPEED_PERCENT = 100.0
 
 
 @dataclasses.dataclass
 class Run:
-    """One run of a task, by the leader's lines.
+    """One run of a task, from the leader's log lines.
 
     Attributes
     ----------
@@ -33,32 +33,34 @@
         Seconds of the day; 0 for not ended.
     how : str
         How it ended.
-    pace : float
-        Its share of its speed now, in percent.
-    paced_at : float
+    speed_limit : float
+        Its speed limit, in percent of full speed.
+    limited_at : float
         Since when.
-    held_seconds : float
-        The seconds of work that it lost to its paces.
+    throttled_seconds : float
+        The seconds of work that it lost to its speed limits.
     """
 
     placed_at: float
-    pace: float = _FULL_PACE
+    speed_limit: float = _FULL_SPEED_PERCENT
     ended_at: float = 0.0
     how: str = ''
-    paced_at: float = 0.0
-    held_seconds: float = 0.0
-
-    def note_pace(self, pace: float, at: float) -> None:
-        """Count the time at the pace until now, and go on at another."""
-        part = 1 - self.pace / _FULL_PACE
-        self.held_seconds += part * (at - max(self.paced_at, self.placed_at))
-        self.pace = pace
-        self.paced_at = at
+    limited_at: float = 0.0
+    throttled_seconds: float = 0.0
+
+    def set_speed_limit(self, speed_limit: float, at: float) -> None:
+        """Account for the time at the old speed limit, and set a new one."""
+        lost_share = 1 - self.speed_limit / _FULL_SPEED_PERCENT
+        self.throttled_seconds += lost_share * (
+            at - max(self.limited_at, self.placed_at)
+        )
+        self.speed_limit = speed_limit
+        self.limited_at = at
 
 
 @dataclasses.dataclass
 class Job:
-    """One job, by the leader's lines."""
+    """One job, from the leader's log lines."""
 
     queue: str
     accepted_at: float
@@ -68,7 +70,7 @@
 
 
 class Day:
-    """What the leaders' lines of one day tell of its jobs."""
+    """The jobs of one day, from the leaders' log lines."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
@@ -76,17 +78,17 @@
         self.evictions: collections.Counter[str] = collections.Counter()
 
     def read(self, lines: t.Iterable[str]) -> None:
-        """Take lines in, of one day and in its order."""
+        """Read log lines of one day, in order."""
         for line in lines:
-            found = _PLAYED.match(line)
-            if found is None:
+            match = _LOG_LINE.match(line)
+            if match is None:
                 continue
             try:
-                fields = logs.parse_line(found[3])
+                fields = logs.parse_line(match[3])
             except logs.LogSyntaxError:
-                # Cut by whoever kept the log.
+                # Truncated when the log was collected.
                 continue
-            self._note(float(found[1]), fields)
+            self._note(float(match[1]), fields)
 
     def _note(self, at: float, fields: dict[str, str]) -> None:
         event = fields.get('event', '')
@@ -96,7 +98,7 @@
             handle(self, at, fields)
 
     def find_run(self, fields: dict[str, str]) -> Run | None:
-        """Return the run that a line is about, if its start was seen."""
+        """Return the run that a line is about, if its start was read."""
         job = self.jobs.get(fields['task'].partition('.')[0])
         return job.runs.get((fields['task'], fields['run'])) if job else None
 
@@ -107,7 +109,7 @@
 
 
 def register(event: str) -> t.Callable[[Handler], Handler]:
-    """Add what an event tells."""
+    """Register the handler of an event."""
 
     def decorate(handle: Handler) -> Handler:
         _HANDLERS[event] = handle
@@ -139,10 +141,10 @@
 
 
 @register('paced')
-def _note_pace(day: Day, at: float, fields: dict[str, str]) -> None:
+def _note_speed_limit(day: Day, at: float, fields: dict[str, str]) -> None:
     run = day.find_run(fields)
     if run is not None:
-        run.note_pace(float(fields['percent']), at)
+        run.set_speed_limit(float(fields['percent']), at)
 
 
 @register('evicted')
@@ -156,7 +158,7 @@
     if run is not None:
         run.ended_at = at
         run.how = fields['how']
-        run.note_pace(run.pace, at)
+        run.set_speed_limit(run.speed_limit, at)
 
 
 @register('run-lost')
@@ -169,19 +171,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Account:
-    """Where the time of one queue's jobs went, in seconds.
+    """How the time of one queue's jobs was spent, in seconds.
 
     Attributes
     ----------
     jobs : int
         How many were accepted.
     first : float
-        From acceptance to the first placing; 95 of 100 took less.
+        From acceptance to the first placement; 95 of 100 took less.
     span : float
-        From acceptance to the end, in the mean of those that completed.
+        From acceptance to the end; the mean of completed jobs.
     worked, held, lost : float
-        Seconds of all runs that ended as done, what these lost to their
-        paces, and those of runs that ended otherwise.
+        Seconds of all runs that ended as done, those that these lost to
+        throttling, and those of runs that ended otherwise.
     hows : dict of str to int
         How runs ended.
     """
@@ -196,9 +198,9 @@
 
 
 def account(day: Day, queue: str) -> Account:
-    """Return where the time of a queue's jobs went."""
+    """Return how the time of a queue's jobs was spent."""
     jobs = [job for job in day.jobs.values() if job.queue == queue]
-    firsts = sorted(
+    delays = sorted(
         min(run.placed_at for run in job.runs.values()) - job.accepted_at
         for job in jobs
         if job.runs
@@ -213,31 +215,31 @@
     others = [run for run in ended if run.how != 'done']
     return Account(
         jobs=len(jobs),
-        first=firsts[int(0.95 * len(firsts))] if firsts else 0.0,
+        first=delays[int(0.95 * len(delays))] if delays else 0.0,
         span=statistics.mean(spans) if spans else 0.0,
         worked=sum(run.ended_at - run.placed_at for run in done),
-        held=sum(run.held_seconds for run in done),
+        held=sum(run.throttled_seconds for run in done),
         lost=sum(run.ended_at - run.placed_at for run in others),
         hows=dict(collections.Counter(run.how for run in ended)),
     )
 
 
 def _print_report(path: pathlib.Path) -> None:
-    """Print where worth is missing, from the file that a play leaves."""
-    found = json.loads(path.read_text(encoding='utf-8'))
-    for name, weight, value in found['parts']:
+    """Print where worth is missing, from the report file of a played day."""
+    report = json.loads(path.read_text(encoding='utf-8'))
+    for name, weight, value in report['parts']:
         print(f'{name}: {value:.3f}, missing {weight * (1 - value):.3f}')
-    rows = [*found['classes'], *found['windows']]
+    rows = [*report['classes'], *report['windows']]
     for row in sorted(rows, key=lambda row: row['worth'])[:8]:
-        owed = row['n'] - row['not_owed']
+        counted = row['n'] - row['not_owed']
         print(
             f'worth={row["worth"]:.3f} {row["name"]}: in time {row["in_aim"]}'
-            f' of {owed}, late {row["late"]}, failed {row["failed"]}'
+            f' of {counted}, late {row["late"]}, failed {row["failed"]}'
         )
 
 
 def main() -> int:
-    """Print a line for each queue, and what happened how often."""
+    """Print a line for each queue, and the counts of some events."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('log', type=pathlib.Path)
     parser.add_argument('--report', type=pathlib.Path)
@@ -248,12 +250,12 @@
     if arguments.report is not None:
         _print_report(arguments.report)
     for queue in sorted({job.queue for job in day.jobs.values()}):
-        found = account(day, queue)
+        total = account(day, queue)
         print(
-            f'{queue}: jobs={found.jobs} first_p95={found.first:.2f}s'
-            f' span={found.span:.1f}s worked={found.worked:.0f}s'
-            f' held={found.held:.0f}s lost={found.lost:.0f}s'
-            f' ends={found.hows}'
+            f'{queue}: jobs={total.jobs} first_p95={total.first:.2f}s'
+            f' span={total.span:.1f}s worked={total.worked:.0f}s'
+            f' held={total.held:.0f}s lost={total.lost:.0f}s'
+            f' ends={total.hows}'
         )
     print(f'evicted: {dict(day.evictions)}')
     for event in ('leading', 'deposed', 'loop-late', 'instance-lost'):
--- a/tools/emulate.py
+++ b/tools/emulate.py
@@ -1,10 +1,10 @@
-"""Plays emulated days and prints what they came to: `make emulate`.
+"""Plays emulated days and prints their scores: `make emulate`.
 
 Deployments are one of the known shapes, or `random`: drawn anew for each
-seed, and then also judged beside a floor and an oracle; `harmed` are the
-same with tasks that end their agents, and rooms that shrink and grow. Seeds
-below 1000 are for choosing between decisions, those above for judging the
-choice.
+seed, and then also compared with a floor and an oracle; `harmed` are the
+same with tasks that crash their agents, and capacities that shrink and
+recover. Seeds below 1000 are for choosing between decisions, those above
+for judging the choice.
 """
 
 import argparse
@@ -29,9 +29,9 @@
     'tallowford': (truth.Shape(), load.Rates()),
     'phamgia': (
         truth.Shape(
-            own_ms=10.0,
+            base_latency_ms=10.0,
             swing_seconds=14.0,
-            pressing_share=0.3,
+            interfering_share=0.3,
             stop_seconds=0.4,
             restore_seconds=0.6,
             estimate_error=0.5,
@@ -39,22 +39,25 @@
         load.Rates(quick=2.8, heavy=0.49, heavy_seconds=5.4),
     ),
 }
-# How deployments are drawn.
-_DRAWN = {'random': deployments.draw, 'harmed': deployments.draw_harmed}
+# Functions that draw a deployment from a seed.
+_DRAW_FUNCTIONS = {
+    'random': deployments.draw,
+    'harmed': deployments.draw_harmed,
+}
 _MODELS = {
-    'floor': lambda hidden: yardsticks.Floor(),
-    'learnt': lambda hidden: interference.Model(),
+    'floor': lambda behaviour: yardsticks.Floor(),
+    'learnt': lambda behaviour: interference.Model(),
     'oracle': yardsticks.Oracle,
 }
-# Where floor and oracle are closer than this, a share says nothing.
-_LEAST_SPAN = 0.04
-_WORST_PART = 0.1
+# Where floor and oracle are closer than this, a share carries no information.
+_MIN_GAP = 0.04
+_WORST_SHARE = 0.1
 
 
 def _play(name: str, without: str, policy: str, seed: int) -> score.Result:
     logging.set_verbosity(logging.FATAL)
-    if name in _DRAWN:
-        deployment = _DRAWN[name](seed)
+    if name in _DRAW_FUNCTIONS:
+        deployment = _DRAW_FUNCTIONS[name](seed)
     else:
         deployment = deployments.Deployment(*_SHAPES[name])
     with ablations.switch_off(without):
@@ -64,13 +67,13 @@
 def _print_means(label: str, results: list[score.Result]) -> None:
     for field in dataclasses.fields(score.Result):
         values = [getattr(result, field.name) for result in results]
-        spread = statistics.stdev(values) if len(values) > 1 else 0.0
+        deviation = statistics.stdev(values) if len(values) > 1 else 0.0
         mean = statistics.mean(values)
-        print(f'{label} {field.name}={mean:.3f} +-{spread:.3f}')
+        print(f'{label} {field.name}={mean:.3f} +-{deviation:.3f}')
 
 
 def _print_shares(by_policy: dict[str, list[score.Result]]) -> None:
-    """Print how far of the way from floor to oracle the days went."""
+    """Print the share of the gap from floor to oracle that was gained."""
     shares = [
         (learnt.worth - floor.worth) / (oracle.worth - floor.worth)
         for floor, learnt, oracle in zip(
@@ -79,18 +82,18 @@
             by_policy['oracle'],
             strict=True,
         )
-        if oracle.worth - floor.worth >= _LEAST_SPAN
+        if oracle.worth - floor.worth >= _MIN_GAP
     ]
-    worst = sorted(shares)[: max(round(len(shares) * _WORST_PART), 1)]
+    worst = sorted(shares)[: max(round(len(shares) * _WORST_SHARE), 1)]
     print(f'share of the way: {statistics.mean(shares):.3f}')
     print(f'worst tenth: {statistics.mean(worst):.3f}')
     print(f'days where they differ: {len(shares)}')
 
 
 def main() -> int:
-    """Print each figure's mean and its spread over the seeds."""
+    """Print the mean and standard deviation of each score over the seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument('shape', choices=[*sorted(_SHAPES), *_DRAWN])
+    parser.add_argument('shape', choices=[*sorted(_SHAPES), *_DRAW_FUNCTIONS])
     parser.add_argument('--first', type=int, default=1)
     parser.add_argument('--seeds', type=int, default=16)
     parser.add_argument('--jobs', type=int, default=4)
--- a/tools/emulator/__init__.py
+++ b/tools/emulator/__init__.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time, on which the decisions about jobs are tried.
+"""An emulated fleet in virtual time, for judging scheduling decisions.
 
-The scheduler's own modules place, pace and move the work; what they are
-told comes from a model of instances where best-effort tasks disturb the
-tasks that serve beside them. A day of a minute takes a second or two, so
-that a change can be judged by many seeds instead of one run.
+The scheduler's own modules place, throttle and move the work; the reports
+that they read come from a model of instances where best-effort tasks
+interfere with colocated serving tasks. A day of a minute takes a second or
+two, so that a change can be judged by many seeds instead of one run.
 """
--- a/tools/emulator/ablations.py
+++ b/tools/emulator/ablations.py
@@ -1,6 +1,6 @@
-"""Mechanisms of the scheduler, switched off from outside, one by one.
+"""Ablations: the scheduler's mechanisms, disabled from outside one by one.
 
-What a mechanism is worth is measured by playing the same days without
+The benefit of a mechanism is measured by playing the same days without
 it. The product has no switches for that: each entry replaces a module's
 constant or function while a day is played.
 """
@@ -11,27 +11,27 @@
 
 from persimmonsail.jobs import order
 
-# Longer than any day, and more than any figure.
-_NEVER = 1e9
+# Exceeds every duration and every other value of a day.
+_UNREACHABLE = 1e9
 
-Patches = t.Callable[[], t.Sequence[t.Any]]
+MakePatches = t.Callable[[], t.Sequence[t.Any]]
 
-ABLATIONS: dict[str, Patches] = {}
+ABLATIONS: dict[str, MakePatches] = {}
 
 
-def register(name: str) -> t.Callable[[Patches], Patches]:
-    """Add an ablation, by what it replaces."""
+def register(name: str) -> t.Callable[[MakePatches], MakePatches]:
+    """Register an ablation by the function that makes its patches."""
 
-    def decorate(patches: Patches) -> Patches:
-        ABLATIONS[name] = patches
-        return patches
+    def decorate(make_patches: MakePatches) -> MakePatches:
+        ABLATIONS[name] = make_patches
+        return make_patches
 
     return decorate
 
 
 @contextlib.contextmanager
 def switch_off(name: str) -> t.Iterator[None]:
-    """Play without a mechanism; with all of them for an empty name."""
+    """Disable a mechanism; an empty name disables none."""
     with contextlib.ExitStack() as stack:
         if name:
             for patch in ABLATIONS[name]():
@@ -44,24 +44,24 @@
 
 
 def _do_nothing(*arguments: t.Any) -> None:
-    """Stand in for what is switched off."""
+    """Replace a disabled method."""
 
 
 @register('learnt-coefficients')
-def _guess_coefficients() -> t.Sequence[t.Any]:
-    """Never learn which images press on which."""
+def _learn_no_coefficients() -> t.Sequence[t.Any]:
+    """Never learn which images interfere with each other."""
     return (_replace('regression.Regression.add', _do_nothing),)
 
 
 @register('kinds-from-seen-pairs')
-def _keep_kinds() -> t.Sequence[t.Any]:
-    """Guess pairs that were not seen as on the first day."""
+def _keep_prior_kinds() -> t.Sequence[t.Any]:
+    """Predict unobserved pairs from the initial prior."""
     return (_replace('interference.Model._adapt_kinds', _do_nothing),)
 
 
 @register('doubt-from-surprises')
-def _keep_margin() -> t.Sequence[t.Any]:
-    """Keep the same room free below each target."""
+def _keep_headroom() -> t.Sequence[t.Any]:
+    """Keep a fixed headroom below each target."""
     return (
         _replace(
             'interference.Model.estimate_uncertainty', lambda model: 0.06
@@ -71,7 +71,7 @@
 
 @register('spread-of-loads')
 def _expect_mean() -> t.Sequence[t.Any]:
-    """Expect the mean load, however much it swings."""
+    """Expect the mean load, whatever its variation."""
     return (_replace('interference.EXPECTED_MAXIMA', (0.0,)),)
 
 
@@ -86,17 +86,17 @@
 
 
 @register('least-in-pacing')
-def _pace_by_means() -> t.Sequence[t.Any]:
+def _throttle_by_means() -> t.Sequence[t.Any]:
     return (_replace('regression._LOWER_BOUND_DEVIATIONS', 0.0),)
 
 
 @register('trust-in-outliers')
 def _trust_outliers() -> t.Sequence[t.Any]:
-    return (_replace('interference._MAX_DEVIATIONS', _NEVER),)
+    return (_replace('interference._MAX_DEVIATIONS', _UNREACHABLE),)
 
 
 @register('doubt-after-changes')
-def _trust_changes() -> t.Sequence[t.Any]:
+def _ignore_recent_changes() -> t.Sequence[t.Any]:
     return (_replace('gauges._CHANGE_UNCERTAINTY', 0.0),)
 
 
@@ -111,28 +111,28 @@
 
 
 @register('limited-rise')
-def _rise_at_once() -> t.Sequence[t.Any]:
-    return (_replace('throttling._MAX_RISE_FACTOR', _NEVER),)
+def _rise_without_limit() -> t.Sequence[t.Any]:
+    return (_replace('throttling._MAX_RISE_FACTOR', _UNREACHABLE),)
 
 
 @register('slowing-what-hardly-presses')
-def _leave_light_alone() -> t.Sequence[t.Any]:
+def _throttle_no_light_runs() -> t.Sequence[t.Any]:
     return (_replace('throttling._MIN_LIGHT_PERCENT', 100),)
 
 
 @register('stop-all')
-def _stop_only_what_presses() -> t.Sequence[t.Any]:
-    return (_replace('throttling._STOP_ALL_SECONDS', _NEVER),)
+def _stop_only_interfering() -> t.Sequence[t.Any]:
+    return (_replace('throttling._STOP_ALL_SECONDS', _UNREACHABLE),)
 
 
 @register('starved-moves')
-def _move_nothing() -> t.Sequence[t.Any]:
-    return (_replace('eviction._MAX_THROTTLED_SECONDS', _NEVER),)
+def _evict_no_starved() -> t.Sequence[t.Any]:
+    return (_replace('eviction._MAX_THROTTLED_SECONDS', _UNREACHABLE),)
 
 
 @register('beside-own-image')
 def _spread_serving() -> t.Sequence[t.Any]:
-    """Place serving tasks like all others, where most is unused."""
+    """Place serving tasks like all others, where most capacity is unused."""
 
     def list_scores(candidates: t.Any) -> list[t.Any]:
         return [-candidates._snapshot.unused]
@@ -141,13 +141,13 @@
 
 
 @register('still-instances')
-def _ignore_still() -> t.Sequence[t.Any]:
-    return (_replace('observations._STALL_SECONDS', _NEVER),)
+def _ignore_stalls() -> t.Sequence[t.Any]:
+    return (_replace('observations._STALL_SECONDS', _UNREACHABLE),)
 
 
 @register('idle-jobs-start')
-def _let_idle_wait() -> t.Sequence[t.Any]:
-    return (_replace('scheduling._IDLE_TIMEOUT_SECONDS', _NEVER),)
+def _let_idle_jobs_wait() -> t.Sequence[t.Any]:
+    return (_replace('scheduling._IDLE_TIMEOUT_SECONDS', _UNREACHABLE),)
 
 
 @register('order-by-work')
@@ -163,19 +163,19 @@
 
 
 @register('late-class')
-def _forget_lateness() -> t.Sequence[t.Any]:
-    return (_replace('order._ESTIMATE_ERROR', _NEVER),)
+def _ignore_lateness() -> t.Sequence[t.Any]:
+    return (_replace('order._ESTIMATE_ERROR', _UNREACHABLE),)
 
 
 @register('crash-counts')
-def _count_no_crash() -> t.Sequence[t.Any]:
-    """Start tasks again however often their agents crash."""
+def _ignore_crashes() -> t.Sequence[t.Any]:
+    """Restart tasks however often they crash their agents."""
     return (_replace('crashes.Tracker.note', _do_nothing),)
 
 
 @register('suspects-apart')
-def _mix_suspects() -> t.Sequence[t.Any]:
-    """Start suspects wherever there is room."""
+def _isolate_no_suspects() -> t.Sequence[t.Any]:
+    """Start crash suspects wherever there is free capacity."""
 
     def needs_isolation(task: t.Any, now: float) -> bool:
         return False
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -1,4 +1,4 @@
-"""One emulated day, from its first job to its score."""
+"""An emulated day, from its first job to its score."""
 
 from persimmonsail.decisions import quarantine
 from persimmonsail.jobs import advice
@@ -24,11 +24,11 @@
 
 _TICK_SECONDS = 0.05
 _REPORT_SECONDS = 0.45
-# The first jobs come before the traffic, and the last ones have time.
+# Time before the day for the first jobs, and after it for the last to end.
 _LEAD_SECONDS = 6.0
 _AFTER_SECONDS = 12.0
-# The leader's clock is never 0, which stands for "never".
-_CLOCK_OFFSET = yardsticks.CLOCK_OFFSET
+# Keeps the leader's clock above 0, which stands for "never".
+_CLOCK_OFFSET_SECONDS = yardsticks.CLOCK_OFFSET_SECONDS
 _MEMORY_MIB = 256000
 
 
@@ -38,31 +38,31 @@
     Parameters
     ----------
     deployment : tools.emulator.deployments.Deployment
-        How it behaves, what comes, and what fails.
+        Its behaviour, workload and faults.
     seed : int
-        Draws jobs and truth.
+        Seeds the jobs and the truth.
     make_model : callable
-        Makes what the leader knows of images, from the truth.
+        Makes the leader's interference model from the truth.
     """
 
     def __init__(
         self,
         deployment: deployments.Deployment,
         seed: int,
-        make_model: yardsticks.Make = lambda truth: interference.Model(),
+        make_model: yardsticks.MakeModel = lambda truth: interference.Model(),
     ) -> None:
         self._truth = truth_module.Truth(deployment.shape, seed)
         caller = load_module.Caller(deployment.rates, deployment.shape, seed)
         self._faults = deployment.faults
         self._arrivals = caller.draw_day(_LEAD_SECONDS)
-        self._by_id = {a.id: a for a in self._arrivals}
-        self._ended: dict[str, float] = {}
-        # How often the task of each job that ends its agents was started.
-        self._crashing: dict[str, int] = {}
-        self._given_up: set[str] = set()
-        self._saved: dict[str, float] = {}
+        self._arrivals_by_id = {a.id: a for a in self._arrivals}
+        self._ended_at: dict[str, float] = {}
+        # Number of starts of the crashing task of each job that has one.
+        self._crashing_starts: dict[str, int] = {}
+        self._failed_jobs: set[str] = set()
+        self._saved_work: dict[str, float] = {}
         self.board = board_module.Board()
-        self._waited = 0.0
+        self._waiting_seconds = 0.0
         self._model = make_model(self._truth)
         self._snapshot = fleetsnapshot.FleetSnapshot()
         self._reader = reports.Reader(
@@ -75,13 +75,13 @@
         )
         self._workers: list[worker_module.Worker] = []
         self._views: list[instances.Instance] = []
-        self._reported: list[float] = []
+        self._reported_at: list[float] = []
         self._indices: dict[str, int] = {}
         for index, cores in enumerate(deployment.cores):
             capacity = specification.Size(cores * 1000, _MEMORY_MIB)
             address = f'10.0.0.{index}:7000'
             worker = worker_module.Worker(address, capacity, self._truth)
-            worker.saved = self._saved
+            worker.saved_work = self._saved_work
             self._workers.append(worker)
             self._views.append(
                 instances.Instance(
@@ -93,44 +93,44 @@
                     has_reported=True,
                 )
             )
-            # Sidecars report in turn, one each 0.04 s of a period.
-            begun = 0.04 * index % _REPORT_SECONDS
-            self._reported.append(begun - _LEAD_SECONDS)
+            # Sidecars report at intervals of 0.04 s within a period.
+            first_report_at = 0.04 * index % _REPORT_SECONDS
+            self._reported_at.append(first_report_at - _LEAD_SECONDS)
             self._indices[address] = index
 
     def play(self) -> score.Result:
-        """Play the day and return what it came to."""
+        """Play the day and return its score."""
         now = -_LEAD_SECONDS
-        waiting = list(reversed(self._arrivals))
+        pending = list(reversed(self._arrivals))
         while now < load_module.DAY_SECONDS + _AFTER_SECONDS:
             replan = False
-            while waiting and waiting[-1].at <= now:
-                self._submit(waiting.pop())
+            while pending and pending[-1].at <= now:
+                self._submit(pending.pop())
                 replan = True
-            self._fail(now)
+            self._apply_faults(now)
             for worker in self._workers:
                 worker.tick(now)
             for index in range(len(self._workers)):
-                replan |= self._report(index, now)
+                replan |= self._process_report(index, now)
             if replan or round(now / _TICK_SECONDS) % 5 == 0:
                 self._place(now)
-            self._waited += _TICK_SECONDS * self._count_waiting()
-            self._note_time(_TICK_SECONDS)
+            self._waiting_seconds += _TICK_SECONDS * self._count_waiting()
+            self._note_elapsed(_TICK_SECONDS)
             now += _TICK_SECONDS
-        return score.judge(
+        return score.compute(
             score.Outcome(
                 self._arrivals,
-                self._ended,
+                self._ended_at,
                 self._workers,
                 now,
-                self._waited,
-                self._crashing,
-                self._given_up,
+                self._waiting_seconds,
+                self._crashing_starts,
+                self._failed_jobs,
             )
         )
 
-    def _note_time(self, seconds: float) -> None:
-        """Let the leader's time pass; for those who measure it."""
+    def _note_elapsed(self, seconds: float) -> None:
+        """Account for the leader's time; a hook for subclasses."""
 
     def _count_waiting(self) -> int:
         return sum(
@@ -144,29 +144,29 @@
             job_module.Job(
                 arrival.id,
                 arrival.queue,
-                round((_CLOCK_OFFSET + arrival.at) * 1000),
+                round((_CLOCK_OFFSET_SECONDS + arrival.at) * 1000),
                 arrival.specification,
             )
         )
 
-    def _fail(self, now: float) -> None:
+    def _apply_faults(self, now: float) -> None:
         for fault in self._faults:
             kind = faults.KINDS[fault.kind]
             worker = self._workers[fault.index]
-            if _is_now(fault.at, now):
+            if _is_due(fault.at, now):
                 kind.begin(worker, fault)
-            if _is_now(fault.at + fault.seconds, now):
+            if _is_due(fault.at + fault.seconds, now):
                 kind.end(worker, fault)
 
-    def _report(self, index: int, now: float) -> bool:
+    def _process_report(self, index: int, now: float) -> bool:
         worker = self._workers[index]
         view = self._views[index]
         if not worker.changed:
-            if now - self._reported[index] < _REPORT_SECONDS:
+            if now - self._reported_at[index] < _REPORT_SECONDS:
                 return False
-        self._reported[index] = now
-        report = worker.describe(1, view.processed_end, now)
-        clock = now + _CLOCK_OFFSET
+        self._reported_at[index] = now
+        report = worker.make_report(1, view.processed_end, now)
+        clock = now + _CLOCK_OFFSET_SECONDS
         reaction = self._read(view, report, clock)
         for run in reaction.stops:
             self._stop(worker, run, now)
@@ -188,27 +188,27 @@
         worker.stop((run.task, run.number), now)
 
     def _note_ends(self, now: float) -> None:
-        for id in self.board.changed:
-            job = self.board.jobs[id]
+        for job_id in self.board.changed:
+            job = self.board.jobs[job_id]
             if job.phase is record.JobPhase.COMPLETE:
-                self._ended.setdefault(id, now)
+                self._ended_at.setdefault(job_id, now)
             elif job.phase is record.JobPhase.FAILED:
-                self._given_up.add(id)
+                self._failed_jobs.add(job_id)
         self.board.changed.clear()
 
     def _place(self, now: float) -> None:
-        clock = now + _CLOCK_OFFSET
+        clock = now + _CLOCK_OFFSET_SECONDS
         claims = self._plan(clock)
         self._note_ends(now)
         for claim in claims:
             claim.run.order = 1
             index = self._indices[claim.instance.address]
             key = claim.task.key
-            arrival = self._by_id[claim.task.job.id]
+            arrival = self._arrivals_by_id[claim.task.job.id]
             self._workers[index].start(
                 claim.run,
                 arrival.seconds[key.step][key.index],
-                self._saved.get(claim.run.task, 0.0),
+                self._saved_work.get(claim.run.task, 0.0),
                 now,
                 self._note_start(arrival, claim),
             )
@@ -216,12 +216,12 @@
     def _note_start(
         self, arrival: load_module.Arrival, claim: placer.Claim
     ) -> bool:
-        """Count a start that ends its agent; tell whether it is one."""
+        """Return whether a task crashes its agent, and count such starts."""
         key = claim.task.key
         crashes = arrival.crashes and key.step == 0 and key.index == 0
         if crashes:
-            starts = self._crashing.get(arrival.id, 0)
-            self._crashing[arrival.id] = starts + 1
+            starts = self._crashing_starts.get(arrival.id, 0)
+            self._crashing_starts[arrival.id] = starts + 1
         return crashes
 
     def _read(
@@ -243,5 +243,5 @@
         )
 
 
-def _is_now(at: float, now: float) -> bool:
+def _is_due(at: float, now: float) -> bool:
     return at <= now < at + _TICK_SECONDS
--- a/tools/emulator/faults.py
+++ b/tools/emulator/faults.py
@@ -1,4 +1,4 @@
-"""What fails on an emulated instance."""
+"""Faults of an emulated instance."""
 
 import dataclasses
 import typing as t
@@ -16,11 +16,11 @@
     kind : str
         A key of ``KINDS``.
     at, seconds : float
-        When it comes, and for how long it stays.
+        When it begins, and how long it lasts.
     index : int
-        Which instance.
+        The instance's index.
     strength : float
-        How strong it is, above 1.
+        Its severity, above 1.
     """
 
     kind: str
@@ -41,12 +41,12 @@
 
 
 KINDS: dict[str, Kind] = {}
-# What drawn deployments have; others are added to them.
-USUAL = ('crash', 'late', 'slow', 'still')
+# The kinds that every drawn deployment may have.
+DRAWN_KINDS = ('crash', 'late', 'slow', 'still')
 
 
 def register(name: str, end: Change) -> t.Callable[[Change], Change]:
-    """Add a kind of fault, by how it begins."""
+    """Register a kind of fault by how it begins and ends."""
 
     def decorate(begin: Change) -> Change:
         KINDS[name] = Kind(begin, end)
@@ -59,19 +59,19 @@
     worker.speed = 1.0
 
 
-def _revive(worker: worker_module.Worker, fault: Fault) -> None:
-    worker.revive()
+def _restart(worker: worker_module.Worker, fault: Fault) -> None:
+    worker.restart()
 
 
-def _restore_room(worker: worker_module.Worker, fault: Fault) -> None:
+def _restore_capacity(worker: worker_module.Worker, fault: Fault) -> None:
     worker.capacity = specification.Size(
         round(worker.capacity.millicores * fault.strength),
         round(worker.capacity.memory_mib * fault.strength),
     )
 
 
-def _order_at_once(worker: worker_module.Worker, fault: Fault) -> None:
-    worker.order_seconds = 0.0
+def _reset_order_delay(worker: worker_module.Worker, fault: Fault) -> None:
+    worker.order_delay_seconds = 0.0
 
 
 @register('slow', _restore_speed)
@@ -80,22 +80,22 @@
 
 
 @register('still', _restore_speed)
-def _stand_still(worker: worker_module.Worker, fault: Fault) -> None:
+def _stall(worker: worker_module.Worker, fault: Fault) -> None:
     worker.speed = 0.0
 
 
-@register('crash', _revive)
+@register('crash', _restart)
 def _crash(worker: worker_module.Worker, fault: Fault) -> None:
     worker.crash(fault.at)
 
 
-@register('late', _order_at_once)
-def _order_late(worker: worker_module.Worker, fault: Fault) -> None:
-    worker.order_seconds = fault.strength / 2
+@register('late', _reset_order_delay)
+def _delay_orders(worker: worker_module.Worker, fault: Fault) -> None:
+    worker.order_delay_seconds = fault.strength / 2
 
 
-@register('shrink', _restore_room)
-def _shrink_room(worker: worker_module.Worker, fault: Fault) -> None:
+@register('shrink', _restore_capacity)
+def _shrink_capacity(worker: worker_module.Worker, fault: Fault) -> None:
     worker.capacity = specification.Size(
         round(worker.capacity.millicores / fault.strength),
         round(worker.capacity.memory_mib / fault.strength),
--- a/tools/emulator/load.py
+++ b/tools/emulator/load.py
@@ -1,4 +1,4 @@
-"""What callers of the emulated fleet submit."""
+"""The workload that callers submit to the emulated fleet."""
 
 import dataclasses
 import math
@@ -42,23 +42,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rates:
-    """How much comes; the heavy jobs come in a burst once.
+    """The rates of arriving jobs; heavy ones also come in one burst.
 
     Attributes
     ----------
     quick, heavy, serving : float
-        Jobs a second.
+        Jobs per second.
     first_heavy, first_serving : int
-        Jobs that are there when the day begins.
+        Jobs that are submitted before the day begins.
     heavy_seconds : float
         The mean duration of a heavy task at full speed.
     burst : float
-        By how much more heavy jobs come in the burst's seconds.
+        The factor by which the rate of heavy jobs rises in the burst.
     size : float
-        How large tasks are, against those of the played deployments.
-    crashing : float
-        The share of jobs whose first task ends each worker's agent that
-        starts it.
+        The size of tasks, relative to those of the known deployments.
+    crashing_share : float
+        The share of jobs whose first task crashes each agent that starts
+        it.
     """
 
     quick: float = 2.2
@@ -69,31 +69,31 @@
     heavy_seconds: float = 4.4
     burst: float = 1.4
     size: float = 1.0
-    crashing: float = 0.0
+    crashing_share: float = 0.0
 
 
-# The burst's place in the day, in seconds.
-_BURST = (16.0, 22.0)
-# Work comes for so long.
+# Begin and end of the burst, in seconds of the day.
+_BURST_SECONDS = (16.0, 22.0)
+# Jobs arrive for this long.
 DAY_SECONDS = 34.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A job, and what each of its tasks really takes.
+    """A job and the actual durations of its tasks.
 
     Attributes
     ----------
     at : float
         When it is submitted.
     id, queue : str
-        Its name, and where it belongs.
+        Its name and its queue.
     specification : persimmonsail.jobs.specification.Specification
-        What the caller says of it.
+        What the caller declares.
     seconds : tuple of tuple of float
-        For each step and task its duration at full speed.
+        The duration of each task at full speed, by step.
     crashes : bool
-        Whether its first task ends each worker's agent that starts it.
+        Whether its first task crashes each agent that starts it.
     """
 
     at: float
@@ -115,7 +115,7 @@
 
     @property
     def path_seconds(self) -> float:
-        """The longest chain of tasks at full speed."""
+        """The duration of the longest chain of tasks at full speed."""
         return sum(max(seconds) for seconds in self.seconds)
 
 
@@ -125,46 +125,53 @@
     Parameters
     ----------
     rates : Rates
-        How much comes.
+        The rates of arriving jobs.
     shape : tools.emulator.truth.Shape
-        How the deployment behaves.
+        The deployment's behaviour.
     seed : int
-        Draws the jobs.
+        Seeds the jobs.
     """
 
     def __init__(self, rates: Rates, shape: truth.Shape, seed: int) -> None:
         self._rates = rates
         self._shape = shape
         self._random = random.Random(seed)
-        # Apart from the rest, so that a day is the same but for this.
-        self._harm = random.Random(f'harm {seed}')
+        # A separate generator, so that crashes change nothing else in a day.
+        self._crash_random = random.Random(f'harm {seed}')
         self._count = 0
 
-    def draw_day(self, lead: float) -> list[Arrival]:
+    def draw_day(self, lead_seconds: float) -> list[Arrival]:
         """Return all jobs of a day, the earliest first.
 
         Parameters
         ----------
-        lead : float
-            How long before the day the first jobs are there, in seconds.
+        lead_seconds : float
+            How long before the day the first jobs are submitted.
         """
         rates = self._rates
-        day = [self._draw(-lead, SERVING) for _ in range(rates.first_serving)]
-        day += [self._draw(-lead, HEAVY) for _ in range(rates.first_heavy)]
+        arrivals = [
+            self._draw(-lead_seconds, SERVING)
+            for _ in range(rates.first_serving)
+        ]
+        arrivals += [
+            self._draw(-lead_seconds, HEAVY) for _ in range(rates.first_heavy)
+        ]
         for queue, rate in (
             (QUICK, rates.quick),
             (HEAVY, rates.heavy),
             (SERVING, rates.serving),
         ):
-            day += [self._draw(at, queue) for at in self._draw_times(rate)]
-        # The burst.
-        begin, end = _BURST
+            arrivals += [
+                self._draw(at, queue) for at in self._draw_times(rate)
+            ]
+        # The additional jobs of the burst.
+        begin, end = _BURST_SECONDS
         extra = rates.heavy * (rates.burst - 1)
-        day += [
+        arrivals += [
             self._draw(begin + at * (end - begin) / DAY_SECONDS, HEAVY)
             for at in self._draw_times(extra * (end - begin) / DAY_SECONDS)
         ]
-        return sorted(day, key=lambda arrival: arrival.at)
+        return sorted(arrivals, key=lambda arrival: arrival.at)
 
     def _draw_times(self, rate: float) -> t.Iterator[float]:
         at = self._random.expovariate(rate)
@@ -174,7 +181,7 @@
 
     def _draw(self, at: float, queue: str) -> Arrival:
         self._count += 1
-        drawn = _DRAWS[queue](self)
+        drawn = _DRAW_STEPS[queue](self)
         steps = tuple(step for step, _ in drawn)
         return Arrival(
             at,
@@ -182,44 +189,53 @@
             queue,
             specification.Specification('payload', steps),
             tuple(seconds for _, seconds in drawn),
-            crashes=self._harm.random() < self._rates.crashing,
+            crashes=self._crash_random.random() < self._rates.crashing_share,
         )
 
-    def _vary(self, mean: float, spread: float, most: float) -> float:
-        location = math.log(mean) - spread * spread / 2
-        return min(self._random.lognormvariate(location, spread), most)
-
-    def _draw_millicores(self, mean: float, spread: float, most: float) -> int:
-        return round(self._rates.size * self._vary(mean, spread, most))
+    def _draw_lognormal(
+        self, mean: float, deviation: float, max_value: float
+    ) -> float:
+        location = math.log(mean) - deviation * deviation / 2
+        return min(self._random.lognormvariate(location, deviation), max_value)
+
+    def _draw_millicores(
+        self, mean: float, deviation: float, max_value: float
+    ) -> int:
+        return round(
+            self._rates.size * self._draw_lognormal(mean, deviation, max_value)
+        )
 
     def _draw_steps(
         self,
-        steps: float,
-        width: tuple[float, float, float],
-        seconds: tuple[float, float, float],
-        make: t.Callable[..., specification.Step],
+        mean_steps: float,
+        counts: tuple[float, float, float],
+        durations: tuple[float, float, float],
+        make_step: t.Callable[..., specification.Step],
     ) -> list[tuple[specification.Step, tuple[float, ...]]]:
-        mean = self._vary(*seconds)
+        mean_seconds = self._draw_lognormal(*durations)
         drawn = []
-        for index in range(max(1, round(self._vary(steps, 0.4, 5.0)))):
-            count = max(1, round(self._vary(*width)))
-            each = tuple(
-                mean * self._random.uniform(0.7, 1.3) for _ in range(count)
+        for index in range(
+            max(1, round(self._draw_lognormal(mean_steps, 0.4, 5.0)))
+        ):
+            count = max(1, round(self._draw_lognormal(*counts)))
+            task_seconds = tuple(
+                mean_seconds * self._random.uniform(0.7, 1.3)
+                for _ in range(count)
             )
             error = self._shape.estimate_error
-            off = self._random.uniform(1 - error, 1 + error)
-            step = make(
+            error_factor = self._random.uniform(1 - error, 1 + error)
+            step = make_step(
                 count=count,
-                estimate_ms=round(1000 * mean * off),
+                estimate_ms=round(1000 * mean_seconds * error_factor),
                 after=(index - 1,) if index else (),
             )
-            drawn.append((step, each))
+            drawn.append((step, task_seconds))
         return drawn
 
     def _draw_quick(self) -> t.Any:
         size = specification.Size(
             self._draw_millicores(960, 0.45, 2900),
-            round(self._vary(1900, 0.3, 3800)),
+            round(self._draw_lognormal(1900, 0.3, 3800)),
         )
         return self._draw_steps(
             1.6,
@@ -231,9 +247,11 @@
     def _draw_heavy(self) -> t.Any:
         size = specification.Size(
             self._draw_millicores(7000, 0.3, 14000),
-            round(self._vary(13000, 0.3, 26000)),
+            round(self._draw_lognormal(13000, 0.3, 26000)),
+        )
+        image = (
+            f'fills-{self._random.randrange(self._shape.best_effort_images)}'
         )
-        image = f'fills-{self._random.randrange(self._shape.filling_images)}'
         return self._draw_steps(
             2.0,
             (8.0, 0.6, 32.0),
@@ -248,13 +266,13 @@
         )
 
     def _draw_serving(self) -> t.Any:
-        count = max(1, round(self._vary(6.0, 0.4, 12.0)))
+        count = max(1, round(self._draw_lognormal(6.0, 0.4, 12.0)))
         images = self._shape.serving_images
         step = specification.Step(
             count=count,
             size=specification.Size(
                 self._draw_millicores(13000, 0.25, 20000),
-                round(self._vary(26000, 0.3, 51000)),
+                round(self._draw_lognormal(26000, 0.3, 51000)),
             ),
             estimate_ms=400,
             long_running=True,
@@ -266,7 +284,7 @@
         return [(step, (0.4,) * count)]
 
 
-_DRAWS: dict[str, t.Callable[[Caller], t.Any]] = {
+_DRAW_STEPS: dict[str, t.Callable[[Caller], t.Any]] = {
     QUICK: Caller._draw_quick,
     HEAVY: Caller._draw_heavy,
     SERVING: Caller._draw_serving,
--- a/tools/emulator/metered.py
+++ b/tools/emulator/metered.py
@@ -1,8 +1,8 @@
-"""Days on which the leader pays for what it computes.
+"""Days on which the leader's computing time delays it.
 
-A leader is one thread: whatever it computes, its renewals and callers wait
-for. Time that is measured would differ from machine to machine, so that
-function calls are counted instead, each at what it takes in the mean.
+A leader is one thread: its lease renewals and its callers wait while it
+computes. Measured time would differ between machines, so function calls are
+counted instead, each at its mean cost.
 """
 
 import sys
@@ -18,29 +18,31 @@
 from tools.emulator import load
 from tools.emulator import truth
 
-# Processor seconds of placing and reading at 160 instances by the calls that
-# they made: 2.9e-7 where each look was a loop in Python, 7e-7 with vectors,
-# on a processor shared with other work.
+# CPU seconds per function call, when placing and reading reports at 160
+# instances: 2.9e-7 with loops in Python, 7e-7 with vectorised code, on a
+# processor shared with other work.
 _CALL_SECONDS = 5e-7
-# The played deployment that rates are told for.
-_USUAL_INSTANCES = 11
+# Number of instances that the default rates are meant for.
+_KNOWN_INSTANCES = 11
 _MILLISECONDS = 1000
 
 
 class Meter:
-    """Counts the function calls that are made inside ``with``."""
+    """Counts the function calls within a ``with`` block."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     def __enter__(self) -> 'Meter':
-        sys.setprofile(self._note)
+        sys.setprofile(self._count_call)
         return self
 
     def __exit__(self, *exc_info: object) -> None:
         sys.setprofile(None)
 
-    def _note(self, frame: types.FrameType, event: str, value: t.Any) -> None:
+    def _count_call(
+        self, frame: types.FrameType, event: str, argument: t.Any
+    ) -> None:
         self.calls += event in ('call', 'c_call')
 
 
@@ -50,10 +52,10 @@
     Attributes
     ----------
     lags : list of float
-        At each moment, for how many seconds of work whatever comes next
-        has to wait: the loop takes turns.
+        For each tick, the seconds of unfinished work that the event loop's
+        next task has to wait for.
     used : list of float
-        The processor seconds of each moment.
+        The CPU seconds of each tick.
     starts : dict of str to float
         For each job the seconds from its arrival to its first claim, the
         lag included.
@@ -62,16 +64,18 @@
     def __init__(self, deployment: deployments.Deployment, seed: int) -> None:
         super().__init__(deployment, seed)
         self._meter = Meter()
-        self._debt = 0.0
+        self._backlog_seconds = 0.0
         self.lags: list[float] = []
         self.used: list[float] = []
         self.starts: dict[str, float] = {}
 
-    def _note_time(self, seconds: float) -> None:
+    def _note_elapsed(self, seconds: float) -> None:
         cost = self._meter.calls * _CALL_SECONDS
         self._meter.calls = 0
-        self._debt = max(self._debt + cost - seconds, 0.0)
-        self.lags.append(self._debt)
+        self._backlog_seconds = max(
+            self._backlog_seconds + cost - seconds, 0.0
+        )
+        self.lags.append(self._backlog_seconds)
         self.used.append(cost)
 
     def _read(
@@ -85,23 +89,25 @@
             claims = super()._plan(clock)
         for claim in claims:
             job = claim.task.job
-            waited = clock - job.accepted_ms / _MILLISECONDS + self._debt
-            self.starts.setdefault(job.id, waited)
+            delay_seconds = (
+                clock - job.accepted_ms / _MILLISECONDS + self._backlog_seconds
+            )
+            self.starts.setdefault(job.id, delay_seconds)
         return claims
 
 
-def make_large(count: int) -> deployments.Deployment:
-    """Return a fleet of so many instances with load in proportion."""
-    factor = count / _USUAL_INSTANCES
-    usual = load.Rates()
+def make_large(instance_count: int) -> deployments.Deployment:
+    """Return a fleet of this many instances with proportional load."""
+    factor = instance_count / _KNOWN_INSTANCES
+    defaults = load.Rates()
     rates = load.Rates(
-        quick=usual.quick * factor,
-        heavy=usual.heavy * factor,
-        serving=usual.serving * factor,
-        first_heavy=round(usual.first_heavy * factor),
-        first_serving=round(usual.first_serving * factor),
+        quick=defaults.quick * factor,
+        heavy=defaults.heavy * factor,
+        serving=defaults.serving * factor,
+        first_heavy=round(defaults.first_heavy * factor),
+        first_serving=round(defaults.first_serving * factor),
     )
-    sizes = deployments.PLAYED_CORES
-    cores = tuple(sizes[i % len(sizes)] for i in range(count))
-    shape = truth.Shape(serving_images=16, filling_images=30)
+    sizes = deployments.KNOWN_CORES
+    cores = tuple(sizes[i % len(sizes)] for i in range(instance_count))
+    shape = truth.Shape(serving_images=16, best_effort_images=30)
     return deployments.Deployment(shape, rates, cores)
--- a/tools/emulator/score.py
+++ b/tools/emulator/score.py
@@ -1,4 +1,4 @@
-"""What an emulated day came to."""
+"""The score of an emulated day."""
 
 import collections
 import dataclasses
@@ -8,47 +8,49 @@
 from tools.emulator import load
 from tools.emulator import worker
 
-# What a job earns that ends after its objective, and how late it may be.
-_LATE_PART = 0.15
-_LATE_FACTOR = 3.0
-# A second over the target through what runs beside it costs as much as
-# so many seconds away.
-_HARM_FACTOR = 4.0
-# A mean job's worth, and that of two seconds of a serving one.
-_WORTHS = {load.QUICK: 0.335, load.HEAVY: 6.22, load.SERVING: 1.33}
+# The share of its value that a late job earns, and the multiple of its
+# objective up to which it does.
+_LATE_SHARE = 0.15
+_MAX_LATE_FACTOR = 3.0
+# A second over the target through interference costs as much as this many
+# seconds of downtime.
+_INTERFERENCE_COST_FACTOR = 4.0
+# The value of a mean job, and of one window of a serving one.
+_VALUES = {load.QUICK: 0.335, load.HEAVY: 6.22, load.SERVING: 1.33}
 _WINDOW_SECONDS = 2.0
-# A job's worth is so much, and the rest in proportion to its work.
-_FIXED_WORTH = 0.3
-_MOST_WORTH = 4.0
-_LARGEST_PART = 0.2
+# The size-independent part of a job's value; the rest is proportional to its
+# work.
+_FIXED_VALUE_SHARE = 0.3
+_MAX_VALUE = 4.0
+_LARGEST_SHARE = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What a day came to.
+    """The score of a day.
 
     Attributes
     ----------
     heavy, quick, serving : float
-        The part of its worth that each kind of job earned.
+        The share of its value that each kind of job earned.
     worth : float
         The same over all jobs.
     on_time : float
-        The part of the heavy jobs that met their objective.
+        The share of the heavy jobs that met their objective.
     done, largest : float
-        The part of the heavy jobs that earned anything, and the same of
+        The share of the heavy jobs that earned anything, and the same of
         the largest fifth of them.
     over : float
-        The part of their time that serving tasks were over their target.
+        The share of their time that serving tasks were over their target.
     stalled : float
-        Seconds that heavy tasks stood at a pace of 0.
+        Seconds that heavy tasks had a speed limit of 0.
     waiting, paced, short, worked : float
-        What heavy tasks spent their seconds on: waiting for a place, held
-        back by a pace or by a lack of processors, and at work.
+        How heavy tasks spent their seconds: waiting for a placement, lost
+        to throttling, lost to a lack of processors, and working.
     crash_starts : float
-        The most starts of one task that ends its agents.
+        The maximum number of starts of one crashing task.
     wronged : float
-        Jobs that were given up, and end no agents.
+        Failed jobs without a crashing task.
     """
 
     heavy: float
@@ -76,100 +78,103 @@
     ----------
     arrivals : sequence of tools.emulator.load.Arrival
         All jobs.
-    ended : dict of str to float
-        When each job ended that did.
+    ended_at : mapping of str to float
+        When each completed job ended.
     workers : sequence of tools.emulator.worker.Worker
         The instances.
     end : float
         When the day ended.
-    waiting : float
-        Seconds that heavy tasks waited for a place.
-    crashing : mapping of str to int
-        The starts of the task that ends its agents, by its job.
-    given_up : collection of str
+    waiting_seconds : float
+        Seconds that heavy tasks waited for a placement.
+    crashing_starts : mapping of str to int
+        The number of starts of each crashing task, by its job.
+    failed_jobs : collection of str
         Jobs that failed.
     """
 
     arrivals: t.Sequence[load.Arrival]
-    ended: t.Mapping[str, float]
+    ended_at: t.Mapping[str, float]
     workers: t.Sequence[worker.Worker]
     end: float
-    waiting: float
-    crashing: t.Mapping[str, int]
-    given_up: t.Collection[str]
+    waiting_seconds: float
+    crashing_starts: t.Mapping[str, int]
+    failed_jobs: t.Collection[str]
 
 
 @dataclasses.dataclass(frozen=True)
-class _Earned:
-    """One ended job: what it was worth, and which part of that it got."""
+class _JobScore:
+    """One job: its value, and the share of it that it earned."""
 
     work: float
-    worth: float
-    part: float
-
-
-def judge(outcome: Outcome) -> Result:
-    """Return what a day came to."""
-    heavy = _judge_jobs(outcome, load.HEAVY)
-    quick = _judge_jobs(outcome, load.QUICK)
-    served, over = _judge_serving(outcome)
-    owed = {
-        load.HEAVY: sum(earned.worth for earned in heavy),
-        load.QUICK: sum(earned.worth for earned in quick),
+    value: float
+    share: float
+
+
+def compute(outcome: Outcome) -> Result:
+    """Return the score of a day."""
+    heavy = _score_jobs(outcome, load.HEAVY)
+    quick = _score_jobs(outcome, load.QUICK)
+    served, over = _score_serving(outcome)
+    available = {
+        load.HEAVY: sum(job.value for job in heavy),
+        load.QUICK: sum(job.value for job in quick),
         load.SERVING: _count_windows(outcome),
     }
-    parts = {
-        load.HEAVY: _weigh(heavy),
-        load.QUICK: _weigh(quick),
+    shares = {
+        load.HEAVY: _find_earned_share(heavy),
+        load.QUICK: _find_earned_share(quick),
         load.SERVING: served,
     }
-    weights = {name: _WORTHS[name] * owed[name] for name in owed}
-    worth = sum(parts[name] * weights[name] for name in parts)
-    by_size = sorted(heavy, key=lambda earned: earned.work)
-    largest = by_size[-math.ceil(len(by_size) * _LARGEST_PART) :]
+    weights = {name: _VALUES[name] * available[name] for name in available}
+    earned = sum(shares[name] * weights[name] for name in shares)
+    by_size = sorted(heavy, key=lambda job: job.work)
+    largest = by_size[-math.ceil(len(by_size) * _LARGEST_SHARE) :]
     return Result(
-        heavy=parts[load.HEAVY],
-        quick=parts[load.QUICK],
+        heavy=shares[load.HEAVY],
+        quick=shares[load.QUICK],
         serving=served,
-        worth=worth / sum(weights.values()),
-        on_time=_mean([earned.part == 1.0 for earned in heavy]),
-        done=_mean([earned.part > 0 for earned in heavy]),
-        largest=_mean([earned.part > 0 for earned in largest]),
+        worth=earned / sum(weights.values()),
+        on_time=_mean([job.share == 1.0 for job in heavy]),
+        done=_mean([job.share > 0 for job in heavy]),
+        largest=_mean([job.share > 0 for job in largest]),
         over=over,
-        stalled=sum(each.stalled for each in outcome.workers),
-        waiting=outcome.waiting,
-        paced=sum(each.paced for each in outcome.workers),
-        short=sum(each.short for each in outcome.workers),
-        worked=sum(each.worked for each in outcome.workers),
-        crash_starts=max(outcome.crashing.values(), default=0),
-        wronged=len(set(outcome.given_up) - outcome.crashing.keys()),
+        stalled=sum(each.stalled_seconds for each in outcome.workers),
+        waiting=outcome.waiting_seconds,
+        paced=sum(each.throttled_seconds for each in outcome.workers),
+        short=sum(each.short_seconds for each in outcome.workers),
+        worked=sum(each.worked_seconds for each in outcome.workers),
+        crash_starts=max(outcome.crashing_starts.values(), default=0),
+        wronged=len(set(outcome.failed_jobs) - outcome.crashing_starts.keys()),
     )
 
 
-def _judge_jobs(outcome: Outcome, queue: str) -> list[_Earned]:
-    """Judge a queue's jobs whose objective lies within the day."""
+def _score_jobs(outcome: Outcome, queue: str) -> list[_JobScore]:
+    """Score a queue's jobs whose objective lies within the day."""
     arrivals = [
         arrival
         for arrival in outcome.arrivals
         if arrival.queue == queue and not arrival.crashes
     ]
     mean_work = _mean([arrival.work for arrival in arrivals])
-    earned = []
+    scored = []
     for arrival in arrivals:
-        limit = _find_objective(arrival)
-        end = outcome.ended.get(arrival.id)
-        if end is None and outcome.end - arrival.at < limit:
+        objective_seconds = _find_objective(arrival)
+        end = outcome.ended_at.get(arrival.id)
+        if end is None and outcome.end - arrival.at < objective_seconds:
             continue
-        worth = _FIXED_WORTH + (1 - _FIXED_WORTH) * arrival.work / mean_work
-        took = math.inf if end is None else end - arrival.at
-        earned.append(
-            _Earned(
+        value = (
+            _FIXED_VALUE_SHARE
+            + (1 - _FIXED_VALUE_SHARE) * arrival.work / mean_work
+        )
+        duration = math.inf if end is None else end - arrival.at
+        scored.append(
+            _JobScore(
                 arrival.work,
-                min(worth, _MOST_WORTH),
-                _find_part(took, limit),
+                min(value, _MAX_VALUE),
+                _find_value_share(duration, objective_seconds),
             )
         )
-    return earned
+    return scored
 
 
 def _find_objective(arrival: load.Arrival) -> float:
@@ -177,19 +182,21 @@
     return arrival.path_seconds * queue.slack_factor + queue.target_ms / 1000
 
 
-def _find_part(took: float, limit: float) -> float:
-    if took <= limit:
+def _find_value_share(seconds: float, objective_seconds: float) -> float:
+    if seconds <= objective_seconds:
         return 1.0
-    return _LATE_PART if took <= _LATE_FACTOR * limit else 0.0
+    return (
+        _LATE_SHARE if seconds <= _MAX_LATE_FACTOR * objective_seconds else 0.0
+    )
 
 
-def _weigh(earned: t.Sequence[_Earned]) -> float:
-    owed = sum(each.worth for each in earned)
-    return sum(e.worth * e.part for e in earned) / owed if owed else 1.0
+def _find_earned_share(jobs: t.Sequence[_JobScore]) -> float:
+    total = sum(job.value for job in jobs)
+    return sum(j.value * j.share for j in jobs) / total if total else 1.0
 
 
 def _count_windows(outcome: Outcome) -> float:
-    """Return how many windows of serving jobs there were."""
+    """Return the number of windows of serving jobs."""
     windows = 0.0
     for arrival in outcome.arrivals:
         if arrival.queue == load.SERVING and not arrival.crashes:
@@ -198,8 +205,8 @@
     return windows
 
 
-def _judge_serving(outcome: Outcome) -> tuple[float, float]:
-    """Return what serving jobs earned, and how long they were over."""
+def _score_serving(outcome: Outcome) -> tuple[float, float]:
+    """Return the shares that serving jobs earned and were over target."""
     served: dict[str, float] = collections.defaultdict(float)
     over: dict[str, float] = collections.defaultdict(float)
     for each in outcome.workers:
@@ -208,17 +215,17 @@
         for job, seconds in each.over_seconds.items():
             over[job] += seconds
     earned = 0.0
-    owed = 0.0
+    available = 0.0
     for arrival in outcome.arrivals:
         if arrival.queue != load.SERVING or arrival.crashes:
             continue
         count = arrival.specification.steps[0].count
-        owed += count * (outcome.end - arrival.at)
-        lost = _HARM_FACTOR * over[arrival.id]
-        earned += max(served[arrival.id] - lost, 0.0)
-    if not owed:
+        available += count * (outcome.end - arrival.at)
+        penalty = _INTERFERENCE_COST_FACTOR * over[arrival.id]
+        earned += max(served[arrival.id] - penalty, 0.0)
+    if not available:
         return 1.0, 0.0
-    return earned / owed, sum(over.values()) / owed
+    return earned / available, sum(over.values()) / available
 
 
 def _mean(values: t.Sequence[float]) -> float:
--- a/tools/emulator/truth.py
+++ b/tools/emulator/truth.py
@@ -1,4 +1,4 @@
-"""What the emulated fleet hides from the scheduler."""
+"""The behaviour of the emulated fleet, hidden from the scheduler."""
 
 import dataclasses
 import math
@@ -8,49 +8,51 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """How one deployment behaves.
+    """The behaviour of one deployment.
 
     Attributes
     ----------
-    own_ms : float
-        A serving task's tail latency without any load.
+    base_latency_ms : float
+        A serving task's tail latency without load.
     target_factor : float
-        Its target, as a multiple of that.
+        Its target, as a multiple of the base latency.
     mean_load, swing : float
-        A serving task's load swings around its mean by this part of it.
+        A serving task's mean load, and the amplitude of its variation
+        relative to the mean.
     swing_seconds : float
-        How long one swing takes.
-    pressing_share : float
-        The part of all pairs of images that disturb each other much.
+        The period of the variation.
+    interfering_share : float
+        The share of all pairs of images that interfere strongly.
     stop_seconds, restore_seconds : float
-        What it takes to stop a run, and to resume from a checkpoint.
+        The time to stop a run, and to resume from a checkpoint.
     estimate_error : float
-        Estimates of durations are off by up to this part.
+        The maximum relative error of duration estimates.
     strength, strength_spread : float
-        If a spread is given, coefficients of pairs that press are drawn
-        around this strength without a gap to the others: the logarithm
-        has this standard deviation.
+        If a spread is given, coefficients of interfering pairs are drawn
+        around this strength without a gap to the others: the spread is
+        the standard deviation of their logarithm.
     wave : str
-        How loads swing, a key of ``WAVES``.
-    serving_images, filling_images : int
-        How many images there are of either kind.
+        The form of load variation, a key of ``WAVEFORMS``.
+    serving_images, best_effort_images : int
+        The number of images of either kind.
     serving_use : float
-        The part of its declared processors that a serving task uses at
+        The share of its declared processors that a serving task uses at
         full load.
     gauge_noise, outlier_share : float
-        How gauges scatter, and how many of them are off by half.
+        The relative noise of gauges, and the share of them that are off
+        by half.
     lag_seconds : float
-        How far a tail latency lags behind what causes it.
+        The delay with which a tail latency follows its causes.
     checkpoint_seconds : float
-        After how much work a task has a new checkpoint.
+        The seconds of work between two checkpoints of a task.
     """
 
-    own_ms: float = 4.0
+    base_latency_ms: float = 4.0
     target_factor: float = 4.5
     mean_load: float = 0.42
     swing: float = 0.5
     swing_seconds: float = 10.0
-    pressing_share: float = 0.33
+    interfering_share: float = 0.33
     stop_seconds: float = 0.2
     restore_seconds: float = 0.1
     estimate_error: float = 0.2
@@ -58,7 +60,7 @@
     strength_spread: float = 0.0
     wave: str = 'sine'
     serving_images: int = 5
-    filling_images: int = 9
+    best_effort_images: int = 9
     serving_use: float = 1.0
     gauge_noise: float = 0.05
     outlier_share: float = 0.08
@@ -67,62 +69,62 @@
 
     @property
     def target_ms(self) -> int:
-        """The latency that a serving task has to stay below."""
-        return round(self.own_ms * self.target_factor)
-
-
-# Coefficients of 80 pairs of a played deployment: a third of them between
-# 1.1 and 2.6, the others below 0.5, none between.
-_HEAVY = (1.1, 2.5)
-_LIGHT = (0.0, 0.45)
-_FULLEST = 0.985
-_OUTLIER = 1.5
-# A pair that does not press has so much of a pressing pair's strength.
-_FAINT = 0.08
+        """The latency that a serving task must stay below."""
+        return round(self.base_latency_ms * self.target_factor)
+
+
+# Of 80 pairs of images on a known deployment, a third had coefficients between
+# 1.1 and 2.6, the others below 0.5.
+_STRONG_COEFFICIENTS = (1.1, 2.5)
+_WEAK_COEFFICIENTS = (0.0, 0.45)
+_MAX_FULLNESS = 0.985
+_OUTLIER_FACTOR = 1.5
+# The strength of a weakly interfering pair, relative to a strong one.
+_WEAK_STRENGTH_SHARE = 0.08
 _STEEPNESS = 6.0
 
-Wave = t.Callable[[float], float]
-# How a load swings, by name: from turns to -1 ... 1.
-WAVES: dict[str, Wave] = {}
+Waveform = t.Callable[[float], float]
+# Forms of load variation by name: functions from periods to -1 ... 1.
+WAVEFORMS: dict[str, Waveform] = {}
 
 
-def register(name: str) -> t.Callable[[Wave], Wave]:
-    """Add a wave to those that a shape may name."""
+def register(name: str) -> t.Callable[[Waveform], Waveform]:
+    """Register a form of load variation that a shape may name."""
 
-    def decorate(wave: Wave) -> Wave:
-        WAVES[name] = wave
-        return wave
+    def decorate(waveform: Waveform) -> Waveform:
+        WAVEFORMS[name] = waveform
+        return waveform
 
     return decorate
 
 
 @register('sine')
-def _swing_evenly(turns: float) -> float:
-    return math.sin(2 * math.pi * turns)
+def _vary_as_sine(periods: float) -> float:
+    return math.sin(2 * math.pi * periods)
 
 
 @register('steps')
-def _swing_in_steps(turns: float) -> float:
-    """Stay high or low, and change within a tenth of a turn."""
-    return math.tanh(_STEEPNESS * math.sin(2 * math.pi * turns))
+def _vary_in_steps(periods: float) -> float:
+    """Stay high or low, and change within a tenth of a period."""
+    return math.tanh(_STEEPNESS * math.sin(2 * math.pi * periods))
 
 
 @register('mixed')
-def _swing_in_two_times(turns: float) -> float:
-    slow = math.sin(2 * math.pi * turns)
-    fast = math.sin(2 * math.pi * turns * 2.7 + 1.0)
+def _vary_at_two_frequencies(periods: float) -> float:
+    slow = math.sin(2 * math.pi * periods)
+    fast = math.sin(2 * math.pi * periods * 2.7 + 1.0)
     return 0.7 * slow + 0.3 * fast
 
 
 class Truth:
-    """How images disturb each other, and how loads swing.
+    """The true interference between images, and the true loads.
 
     Parameters
     ----------
     shape : Shape
-        How the deployment behaves.
+        The deployment's behaviour.
     seed : int
-        Draws everything that the shape leaves open.
+        Seeds everything that the shape leaves open.
     """
 
     def __init__(self, shape: Shape, seed: int) -> None:
@@ -131,19 +133,23 @@
         self._coefficients: dict[tuple[str, str], float] = {}
         self._phases: dict[str, float] = {}
 
-    def get_coefficient(self, serving: str, filling: str) -> float:
-        """Return how much one image really presses on another."""
-        pair = (serving, filling)
+    def get_coefficient(self, serving: str, best_effort: str) -> float:
+        """Return how strongly one image actually interferes with another."""
+        pair = (serving, best_effort)
         if pair not in self._coefficients:
             self._coefficients[pair] = self._draw_coefficient()
         return self._coefficients[pair]
 
     def _draw_coefficient(self) -> float:
         shape = self.shape
-        presses = self._random.random() < shape.pressing_share
+        interferes = self._random.random() < shape.interfering_share
         if not shape.strength_spread:
-            return self._random.uniform(*(_HEAVY if presses else _LIGHT))
-        strength = shape.strength * (1.0 if presses else _FAINT)
+            return self._random.uniform(
+                *(_STRONG_COEFFICIENTS if interferes else _WEAK_COEFFICIENTS)
+            )
+        strength = shape.strength * (
+            1.0 if interferes else _WEAK_STRENGTH_SHARE
+        )
         return strength * self._random.lognormvariate(
             0.0, shape.strength_spread
         )
@@ -152,17 +158,17 @@
         """Return the load of a serving step's tasks."""
         if step_name not in self._phases:
             self._phases[step_name] = self._random.random()
-        turns = now / self.shape.swing_seconds + self._phases[step_name]
-        swing = self.shape.swing * WAVES[self.shape.wave](turns)
-        return self.shape.mean_load * (1 + swing)
+        periods = now / self.shape.swing_seconds + self._phases[step_name]
+        variation = self.shape.swing * WAVEFORMS[self.shape.wave](periods)
+        return self.shape.mean_load * (1 + variation)
 
     def measure_latency(self, fullness: float) -> float:
-        """Return the tail latency of a task that is so full."""
-        return self.shape.own_ms / (1 - min(fullness, _FULLEST))
+        """Return the tail latency of a task with this fullness."""
+        return self.shape.base_latency_ms / (1 - min(fullness, _MAX_FULLNESS))
 
     def read_gauge(self, latency: float) -> float:
-        """Return a latency as an agent reports it."""
-        scatter = self._random.gauss(0.0, self.shape.gauge_noise)
+        """Return a latency as an agent reports it, with its error."""
+        noise = self._random.gauss(0.0, self.shape.gauge_noise)
         if self._random.random() < self.shape.outlier_share:
-            latency *= _OUTLIER
-        return max(1.0, latency * math.exp(scatter))
+            latency *= _OUTLIER_FACTOR
+        return max(1.0, latency * math.exp(noise))
--- a/tools/emulator/worker.py
+++ b/tools/emulator/worker.py
@@ -1,4 +1,4 @@
-"""One emulated instance: its runs, and the report that its sidecar sends."""
+"""An emulated instance: its runs, and the reports of its sidecar."""
 
 import dataclasses
 import math
@@ -9,21 +9,21 @@
 from persimmonsail.jobs import specification
 from tools.emulator import truth as truth_module
 
-# An order's way to the worker's agent and back.
+# The round trip of an order to the worker's agent.
 _ORDER_SECONDS = 0.03
-_PACE_SECONDS = 0.13
+_SPEED_LIMIT_DELAY_SECONDS = 0.13
 _TICK_SECONDS = 0.05
-# A gauge is a mean over so long, and is as old as that at the most.
-_GAUGE_SECONDS = 0.5
-# For how long a crashed agent is said to have been silent.
-_DARK_SECONDS = 5.0
-_GAUGE_TICKS = round(_GAUGE_SECONDS / _TICK_SECONDS)
+# A gauge is the mean of this window, and at most as old as the window is long.
+_GAUGE_WINDOW_SECONDS = 0.5
+# The reported silence of a crashed agent.
+_REPORTED_SILENCE_SECONDS = 5.0
+_GAUGE_TICKS = round(_GAUGE_WINDOW_SECONDS / _TICK_SECONDS)
 
 
-# A task that ends its agent does so after this time, and the agent is back
-# after the second.
-_CRASH_SECONDS = 0.05
-_BACK_SECONDS = 3.0
+# Time from the start of a crashing task to the crash, and from there to the
+# restart of the agent.
+_CRASH_DELAY_SECONDS = 0.05
+_RESTART_SECONDS = 3.0
 
 
 @dataclasses.dataclass
@@ -32,15 +32,15 @@
     number: int
     step: specification.Step
     seconds: float
-    done: float
+    done_seconds: float
     begins_at: float
     crashes: bool = False
-    percent: int = 100
+    speed_limit: int = 100
     stops_at: float = 0.0
-    used: float = 0.0
+    used_millicores: float = 0.0
     latency: float = 0.0
-    total: float = 0.0
-    ticks: int = 0
+    gauge_total: float = 0.0
+    gauge_ticks: int = 0
     gauge: float = 0.0
 
     @property
@@ -53,30 +53,30 @@
 
 
 class Worker:
-    """Runs what it is told to, as fast as its neighbours allow.
+    """Executes orders; its runs share processors and interfere.
 
     Attributes
     ----------
     changed : bool
         Whether a run ended since the last report.
-    saved : dict of str to float
+    saved_work : dict of str to float
         The work that each task has saved; all instances share it.
     served_seconds, over_seconds : dict of str to float
         For each serving job the seconds of its tasks, and those over
         their target.
-    stalled : float
-        Seconds that best-effort runs stood at a pace of 0.
-    paced, short, worked : float
-        Best-effort runs' seconds that were lost to their paces, and to a
+    stalled_seconds : float
+        Seconds that best-effort runs had a speed limit of 0.
+    throttled_seconds, short_seconds, worked_seconds : float
+        Best-effort runs' seconds that were lost to throttling, and to a
         lack of processors, and those that they worked.
     speed : float
-        At which part of its speed everything here works.
-    order_seconds : float
-        For how much longer the next starts are under way.
+        The speed of the whole instance, as a share of its full speed.
+    order_delay_seconds : float
+        The additional delay of the next starts.
     boot : str
-        The life of the worker's agent.
-    dark : bool
-        Whether the agent is gone.
+        The incarnation of the worker's agent.
+    is_down : bool
+        Whether the agent is down.
     """
 
     def __init__(
@@ -89,49 +89,49 @@
         self.capacity = capacity
         self._truth = truth
         self._runs: dict[instances.RunId, _Run] = {}
-        self._paces: list[tuple[float, instances.RunId, int]] = []
+        self._pending_limits: list[tuple[float, instances.RunId, int]] = []
         self._ended: list[fleet_pb2.Ended] = []
-        self._number = 0
+        self._last_end = 0
         self.changed = False
-        self.saved: dict[str, float] = {}
+        self.saved_work: dict[str, float] = {}
         self.over_seconds: dict[str, float] = {}
         self.served_seconds: dict[str, float] = {}
-        self.stalled = 0.0
-        self.paced = 0.0
-        self.short = 0.0
-        self.worked = 0.0
+        self.stalled_seconds = 0.0
+        self.throttled_seconds = 0.0
+        self.short_seconds = 0.0
+        self.worked_seconds = 0.0
         self.speed = 1.0
-        self.order_seconds = 0.0
+        self.order_delay_seconds = 0.0
         self.boot = 'boot-1'
-        self.dark = False
-        # When an agent that a task has ended is back.
-        self._back_at = math.inf
-        self._crash: fleet_pb2.Crash | None = None
+        self.is_down = False
+        # When an agent that a task has crashed restarts.
+        self._restarts_at = math.inf
+        self._unreported_crash: fleet_pb2.Crash | None = None
         self._crashed_at = 0.0
-        # Requests that wait already are served first, so a tail latency
-        # lags behind what causes it.
+        # Requests that already wait are served first, so a tail latency
+        # follows its causes with a delay.
         lag = truth.shape.lag_seconds
-        self._following = 1 - math.exp(-_TICK_SECONDS / lag)
+        self._smoothing_factor = 1 - math.exp(-_TICK_SECONDS / lag)
 
     def crash(self, now: float) -> None:
-        """Lose everything that runs here."""
-        self.dark = True
+        """Crash the agent, and lose all runs."""
+        self.is_down = True
         self._crashed_at = now
-        self._crash = fleet_pb2.Crash(boot=self.boot)
+        self._unreported_crash = fleet_pb2.Crash(boot=self.boot)
         for run in sorted(self._runs.values(), key=lambda r: -r.begins_at):
             seconds = max(now - run.begins_at, 0.0)
-            self._crash.runs.add(
+            self._unreported_crash.runs.add(
                 task=run.task, run=run.number, seconds=seconds
             )
         self._runs.clear()
-        self._paces.clear()
+        self._pending_limits.clear()
         self._ended.clear()
 
-    def revive(self) -> None:
-        """Come back as another life that knows nothing."""
-        self.dark = False
-        self._back_at = math.inf
-        self._number = 0
+    def restart(self) -> None:
+        """Restart the agent as a new incarnation without runs."""
+        self.is_down = False
+        self._restarts_at = math.inf
+        self._last_end = 0
         self.boot = f'boot-{int(self.boot.rpartition("-")[2]) + 1}'
         self.changed = True
 
@@ -139,29 +139,29 @@
         self,
         run: instances.Run,
         seconds: float,
-        saved: float,
+        saved_seconds: float,
         now: float,
         crashes: bool = False,
     ) -> None:
-        """Carry a start out; one that crashes ends the agent."""
-        if self.dark:
+        """Start a run; a crashing one will crash the agent."""
+        if self.is_down:
             return
-        begins = now + _ORDER_SECONDS + self.order_seconds
-        if saved:
-            begins += self._truth.shape.restore_seconds
+        begins_at = now + _ORDER_SECONDS + self.order_delay_seconds
+        if saved_seconds:
+            begins_at += self._truth.shape.restore_seconds
         self._runs[run.task, run.number] = _Run(
             run.task,
             run.number,
             run.step,
             seconds,
-            saved,
-            begins,
+            saved_seconds,
+            begins_at,
             crashes,
             run.speed_limit if run.step.best_effort_cpu else 100,
         )
 
     def stop(self, key: instances.RunId, now: float) -> None:
-        """Stop a run; its room is free once its end is listed."""
+        """Stop a run; its capacity is free once its end is reported."""
         run = self._runs.get(key)
         if run is not None and not run.stops_at:
             run.stops_at = now + self._truth.shape.stop_seconds
@@ -169,99 +169,108 @@
     def set_speed_limit(
         self, key: instances.RunId, percent: int, now: float
     ) -> None:
-        """Let a run work at this share, from a moment later on."""
-        self._paces.append((now + _PACE_SECONDS, key, percent))
+        """Set a run's speed limit, after the delay of such an order."""
+        self._pending_limits.append(
+            (now + _SPEED_LIMIT_DELAY_SECONDS, key, percent)
+        )
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
-        if now >= self._back_at:
-            self.revive()
+        """Advance time by one tick."""
+        if now >= self._restarts_at:
+            self.restart()
         if any(
-            run.crashes and now - run.begins_at >= _CRASH_SECONDS
+            run.crashes and now - run.begins_at >= _CRASH_DELAY_SECONDS
             for run in self._runs.values()
         ):
             self.crash(now)
-            self._back_at = now + _BACK_SECONDS
-        self._apply_paces(now)
+            self._restarts_at = now + _RESTART_SECONDS
+        self._apply_speed_limits(now)
         self._share_processors(now)
-        self._disturb(now)
-        self._read_gauges()
+        self._apply_interference(now)
+        self._update_gauges()
         for run in list(self._runs.values()):
             if now < run.begins_at:
                 continue
             if run.step.best_effort_cpu:
-                speed = run.used / max(run.step.size.millicores, 1)
-                self._count_speed(run, speed)
+                speed = run.used_millicores / max(run.step.size.millicores, 1)
+                self._account_time(run, speed)
             else:
                 speed = 1.0
             if not run.step.long_running:
-                run.done += speed * self.speed * _TICK_SECONDS
-                self._save(run)
+                run.done_seconds += speed * self.speed * _TICK_SECONDS
+                self._save_checkpoint(run)
             if run.stops_at and now >= run.stops_at:
-                self._end(run, board_module.End.STOPPED)
-            elif not run.step.long_running and run.done >= run.seconds:
-                self._end(run, board_module.End.DONE)
+                self._end_run(run, board_module.End.STOPPED)
+            elif not run.step.long_running and run.done_seconds >= run.seconds:
+                self._end_run(run, board_module.End.DONE)
 
-    def _count_speed(self, run: _Run, speed: float) -> None:
-        part = run.percent / 100
-        self.stalled += _TICK_SECONDS * (run.percent == 0)
-        self.paced += _TICK_SECONDS * (1 - part)
-        self.short += _TICK_SECONDS * max(part - speed, 0.0)
-        self.worked += _TICK_SECONDS * speed * self.speed
+    def _account_time(self, run: _Run, speed: float) -> None:
+        limit_share = run.speed_limit / 100
+        self.stalled_seconds += _TICK_SECONDS * (run.speed_limit == 0)
+        self.throttled_seconds += _TICK_SECONDS * (1 - limit_share)
+        self.short_seconds += _TICK_SECONDS * max(limit_share - speed, 0.0)
+        self.worked_seconds += _TICK_SECONDS * speed * self.speed
 
-    def _save(self, run: _Run) -> None:
-        every = self._truth.shape.checkpoint_seconds
+    def _save_checkpoint(self, run: _Run) -> None:
+        interval_seconds = self._truth.shape.checkpoint_seconds
         if run.step.checkpoints:
-            self.saved[run.task] = max(
-                self.saved.get(run.task, 0.0), run.done // every * every
+            self.saved_work[run.task] = max(
+                self.saved_work.get(run.task, 0.0),
+                run.done_seconds // interval_seconds * interval_seconds,
             )
 
-    def _read_gauges(self) -> None:
+    def _update_gauges(self) -> None:
         for run in self._runs.values():
             serves = run.step.latency_target_ms > 0
-            run.total += run.latency if serves else run.used
-            run.ticks += 1
-            if run.ticks < _GAUGE_TICKS:
+            run.gauge_total += run.latency if serves else run.used_millicores
+            run.gauge_ticks += 1
+            if run.gauge_ticks < _GAUGE_TICKS:
                 continue
-            run.gauge = run.total / run.ticks
+            run.gauge = run.gauge_total / run.gauge_ticks
             if serves:
                 run.gauge = self._truth.read_gauge(run.gauge)
-            run.total = 0.0
-            run.ticks = 0
+            run.gauge_total = 0.0
+            run.gauge_ticks = 0
 
-    def _apply_paces(self, now: float) -> None:
-        due = [row for row in self._paces if row[0] <= now]
-        self._paces = [row for row in self._paces if row[0] > now]
+    def _apply_speed_limits(self, now: float) -> None:
+        due = [row for row in self._pending_limits if row[0] <= now]
+        self._pending_limits = [
+            row for row in self._pending_limits if row[0] > now
+        ]
         for _, key, percent in due:
             if key in self._runs:
-                self._runs[key].percent = percent
+                self._runs[key].speed_limit = percent
 
     def _share_processors(self, now: float) -> None:
-        left = float(self.capacity.millicores)
-        wanted: list[tuple[_Run, float]] = []
+        free_millicores = float(self.capacity.millicores)
+        demands: list[tuple[_Run, float]] = []
         for run in self._runs.values():
             if now < run.begins_at:
-                run.used = 0.0
+                run.used_millicores = 0.0
             elif run.step.best_effort_cpu:
-                part = run.percent / 100
-                wanted.append((run, run.step.size.millicores * part))
+                limit_share = run.speed_limit / 100
+                demands.append((run, run.step.size.millicores * limit_share))
             else:
-                left -= self._use(run, now)
-        total = sum(want for _, want in wanted)
-        share = min(1.0, max(left, 0.0) / total) if total else 1.0
-        for run, want in wanted:
-            run.used = want * share
+                free_millicores -= self._measure_use(run, now)
+        total_demand = sum(demand for _, demand in demands)
+        share = (
+            min(1.0, max(free_millicores, 0.0) / total_demand)
+            if total_demand
+            else 1.0
+        )
+        for run, demand in demands:
+            run.used_millicores = demand * share
 
-    def _use(self, run: _Run, now: float) -> float:
+    def _measure_use(self, run: _Run, now: float) -> float:
         if not run.step.latency_target_ms:
             return run.step.size.millicores
         load = self._truth.measure_load(run.step_name, now)
-        part = self._truth.shape.serving_use * load
-        return run.step.size.millicores * part
+        used_share = self._truth.shape.serving_use * load
+        return run.step.size.millicores * used_share
 
-    def _disturb(self, now: float) -> None:
+    def _apply_interference(self, now: float) -> None:
         best_effort_runs = [
-            (run.step.image, run.used / self.capacity.millicores)
+            (run.step.image, run.used_millicores / self.capacity.millicores)
             for run in self._runs.values()
             if run.step.best_effort_cpu
         ]
@@ -270,29 +279,29 @@
             if not target or now < run.begins_at:
                 continue
             load = self._truth.measure_load(run.step_name, now)
-            pressure = sum(
-                self._truth.get_coefficient(run.step.image, image) * part
-                for image, part in best_effort_runs
+            interference = sum(
+                self._truth.get_coefficient(run.step.image, image) * share
+                for image, share in best_effort_runs
             )
-            latency = self._truth.measure_latency(load + pressure)
-            run.latency += (latency - run.latency) * self._following
-            self._count(self.served_seconds, run)
+            latency = self._truth.measure_latency(load + interference)
+            run.latency += (latency - run.latency) * self._smoothing_factor
+            self._add_tick(self.served_seconds, run)
             if run.latency > target:
-                self._count(self.over_seconds, run)
+                self._add_tick(self.over_seconds, run)
 
-    def _count(self, seconds: dict[str, float], run: _Run) -> None:
+    def _add_tick(self, seconds: dict[str, float], run: _Run) -> None:
         job = run.task.partition('.')[0]
         seconds[job] = seconds.get(job, 0.0) + _TICK_SECONDS
 
-    def _end(self, run: _Run, how: board_module.End) -> None:
+    def _end_run(self, run: _Run, how: board_module.End) -> None:
         del self._runs[run.key]
-        self._number += 1
+        self._last_end += 1
         self.changed = True
         if run.step.checkpoints:
-            self.saved[run.task] = run.done
+            self.saved_work[run.task] = run.done_seconds
         self._ended.append(
             fleet_pb2.Ended(
-                number=self._number,
+                number=self._last_end,
                 task=run.task,
                 run=run.number,
                 how=how.value,
@@ -300,18 +309,18 @@
             )
         )
 
-    def describe(
+    def make_report(
         self, seen: int, processed: int, now: float
     ) -> fleet_pb2.Report:
-        """Return what the sidecar reports."""
+        """Return the report of the sidecar."""
         self.changed = False
         self._ended = [row for row in self._ended if row.number > processed]
         report = fleet_pb2.Report(
             seen=seen,
             boot=self.boot,
             service='planner',
-            looked=not self.dark,
-            silent_seconds=_DARK_SECONDS if self.dark else 0.0,
+            looked=not self.is_down,
+            silent_seconds=_REPORTED_SILENCE_SECONDS if self.is_down else 0.0,
             fenced=True,
             capacity=fleet_pb2.Size(
                 millicores=self.capacity.millicores,
@@ -321,15 +330,15 @@
         for run in self._runs.values():
             percent = 100.0
             if not run.step.long_running:
-                percent = 100 * min(run.done / run.seconds, 1.0)
+                percent = 100 * min(run.done_seconds / run.seconds, 1.0)
             report.running.add(
                 task=run.task, run=run.number, percent=percent, gauge=run.gauge
             )
             if run.stops_at:
                 report.pending.add(task=run.task, run=run.number)
         report.ended.extend(self._ended)
-        if self._crash is not None and not self.dark:
-            self._crash.ago_seconds = now - self._crashed_at
-            report.crashes.append(self._crash)
-            self._crash = None
+        if self._unreported_crash is not None and not self.is_down:
+            self._unreported_crash.ago_seconds = now - self._crashed_at
+            report.crashes.append(self._unreported_crash)
+            self._unreported_crash = None
         return report
--- a/tools/measure_urgent.py
+++ b/tools/measure_urgent.py
@@ -1,7 +1,7 @@
-"""Time urgent requests while batch tasks take all that they may.
+"""Measure urgent requests while batch tasks use all capacity they may.
 
-Real processes on this machine: one entry, two instances, more builds
-than fit. Run ``python -m tools.measure_urgent``.
+Runs real processes on this machine: one entry, two instances, and more
+builds than fit. Run ``python -m tools.measure_urgent``.
 """
 
 import pathlib
@@ -13,8 +13,8 @@
 from standins import deployment
 from tools.bench import results
 
-_REQUESTS = 300
-_BUILDS = 60
+_REQUEST_COUNT = 300
+_BUILD_COUNT = 60
 _PERCENTILES = (50, 99, 99.9, 100)
 _MILLISECONDS = 1000.0
 _CATALOGUE = """\
@@ -66,7 +66,7 @@
     with tempfile.TemporaryDirectory(prefix='persimmonsail-') as directory:
         async with deployment.Deployment(pathlib.Path(directory)) as running:
             url = await _start(running)
-            for _ in range(_BUILDS):
+            for _ in range(_BUILD_COUNT):
                 await running.client.post(
                     f'{url}/build/requests', json={'seconds': 3600}
                 )
@@ -74,15 +74,15 @@
             await entry.wait_event('waiting', reason='no-room')
             latencies = results.Latencies()
             refused = 0
-            for _ in range(_REQUESTS):
-                began = time.monotonic()
-                answer = await running.client.post(
+            for _ in range(_REQUEST_COUNT):
+                started_at = time.monotonic()
+                response = await running.client.post(
                     f'{url}/check/requests', json={}
                 )
-                latencies.record(time.monotonic() - began)
-                refused += answer.status_code != 200
+                latencies.record(time.monotonic() - started_at)
+                refused += response.status_code != 200
             placed = len(entry.find('placement'))
-    print(f'builds placed: {placed} of {_BUILDS}; refused: {refused}')
+    print(f'builds placed: {placed} of {_BUILD_COUNT}; refused: {refused}')
     for percentile in _PERCENTILES:
         value = latencies.quantile(percentile) * _MILLISECONDS
         print(f'p{percentile:g}: {value:.1f} ms')
