--- a/tests/jobs/test_leader_load.py
+++ b/tests/jobs/test_leader_load.py
@@ -22,7 +22,7 @@
         with (
             mock.patch.object(load, 'DAY_SECONDS', seconds),
             mock.patch.object(day, '_LEAD_SECONDS', lead),
-            mock.patch.object(day, '_AFTER_SECONDS', 0.0),
+            mock.patch.object(day, '_DRAIN_SECONDS', 0.0),
         ):
             replay = metered.MeteredDay(metered.make_large(instances), 1)
             replay.play()
@@ -38,9 +38,9 @@
         replay = self.play(160)
         # Scalar code took 3.4 cores and fell 20 s behind; vectorised code
         # takes 0.34.
-        self.assertLess(sum(replay.used) / 10.0, 0.5)
+        self.assertLess(sum(replay.cpu_seconds) / 10.0, 0.5)
         self.assertLess(max(replay.lags), MAX_LAG_SECONDS)
-        waits = sorted(replay.starts.values())
+        waits = sorted(replay.start_delays.values())
         self.assertGreater(len(waits), 100)
         self.assertLess(statistics.median(waits), 0.1)
 
@@ -51,5 +51,5 @@
         all instances are empty.
         """
         replay = self.play(840, lead=2.0, seconds=1.0)
-        self.assertLess(sum(replay.used) / 3.0, 1.0)
+        self.assertLess(sum(replay.cpu_seconds) / 3.0, 1.0)
         self.assertLess(max(replay.lags), MAX_LAG_SECONDS)
--- a/tests/test_binds.py
+++ b/tests/test_binds.py
@@ -22,16 +22,19 @@
         day.read(LINES.splitlines())
         found = binds.account(day, 'q')
         self.assertEqual(1, found.jobs)
-        self.assertAlmostEqual(1.0, found.first)
+        self.assertAlmostEqual(1.0, found.first_placement_seconds)
         self.assertAlmostEqual(6.5, found.span)
         self.assertAlmostEqual(2.0, found.worked)
         self.assertAlmostEqual(1.0, found.held)
         self.assertAlmostEqual(3.0, found.lost)
-        self.assertEqual({'stopped': 1, 'done': 1}, found.hows)
+        self.assertEqual({'stopped': 1, 'done': 1}, found.end_counts)
         self.assertEqual(1, day.evictions['starved'])
 
     def test_queue_without_ended_jobs_has_zero_times(self):
         day = binds.Day()
         day.read(LINES.splitlines()[:1])
         found = binds.account(day, 'q')
-        self.assertEqual((1, 0.0, 0.0), (found.jobs, found.first, found.span))
+        self.assertEqual(
+            (1, 0.0, 0.0),
+            (found.jobs, found.first_placement_seconds, found.span),
+        )
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -49,7 +49,10 @@
         free for it suited a load that swings by half in ten.
         """
         shape = truth.Shape(
-            swing=0.6, swing_seconds=6.0, wave='steps', target_factor=6.0
+            load_variation=0.6,
+            load_period_seconds=6.0,
+            waveform='steps',
+            target_factor=6.0,
         )
         results = self.play(shape)
         over = statistics.mean(result.over for result in results)
--- a/tools/binds.py
+++ b/tools/binds.py
@@ -177,24 +177,24 @@
     ----------
     jobs : int
         How many were accepted.
-    first : float
+    first_placement_seconds : float
         From acceptance to the first placement; 95 of 100 took less.
     span : float
         From acceptance to the end; the mean of completed jobs.
     worked, held, lost : float
         Seconds of all runs that ended as done, those that these lost to
         throttling, and those of runs that ended otherwise.
-    hows : dict of str to int
+    end_counts : dict of str to int
         How runs ended.
     """
 
     jobs: int
-    first: float
+    first_placement_seconds: float
     span: float
     worked: float
     held: float
     lost: float
-    hows: dict[str, int]
+    end_counts: dict[str, int]
 
 
 def account(day: Day, queue: str) -> Account:
@@ -215,12 +215,14 @@
     others = [run for run in ended if run.how != 'done']
     return Account(
         jobs=len(jobs),
-        first=delays[int(0.95 * len(delays))] if delays else 0.0,
+        first_placement_seconds=delays[int(0.95 * len(delays))]
+        if delays
+        else 0.0,
         span=statistics.mean(spans) if spans else 0.0,
         worked=sum(run.ended_at - run.placed_at for run in done),
         held=sum(run.throttled_seconds for run in done),
         lost=sum(run.ended_at - run.placed_at for run in others),
-        hows=dict(collections.Counter(run.how for run in ended)),
+        end_counts=dict(collections.Counter(run.how for run in ended)),
     )
 
 
@@ -252,10 +254,10 @@
     for queue in sorted({job.queue for job in day.jobs.values()}):
         total = account(day, queue)
         print(
-            f'{queue}: jobs={total.jobs} first_p95={total.first:.2f}s'
+            f'{queue}: jobs={total.jobs} first_p95={total.first_placement_seconds:.2f}s'
             f' span={total.span:.1f}s worked={total.worked:.0f}s'
             f' held={total.held:.0f}s lost={total.lost:.0f}s'
-            f' ends={total.hows}'
+            f' ends={total.end_counts}'
         )
     print(f'evicted: {dict(day.evictions)}')
     for event in ('leading', 'deposed', 'loop-late', 'instance-lost'):
--- a/tools/emulate.py
+++ b/tools/emulate.py
@@ -30,7 +30,7 @@
     'phamgia': (
         truth.Shape(
             base_latency_ms=10.0,
-            swing_seconds=14.0,
+            load_period_seconds=14.0,
             interfering_share=0.3,
             stop_seconds=0.4,
             restore_seconds=0.6,
--- a/tools/emulator/day.py
+++ b/tools/emulator/day.py
@@ -26,7 +26,7 @@
 _REPORT_SECONDS = 0.45
 # Time before the day for the first jobs, and after it for the last to end.
 _LEAD_SECONDS = 6.0
-_AFTER_SECONDS = 12.0
+_DRAIN_SECONDS = 12.0
 # Keeps the leader's clock above 0, which stands for "never".
 _CLOCK_OFFSET_SECONDS = yardsticks.CLOCK_OFFSET_SECONDS
 _MEMORY_MIB = 256000
@@ -102,7 +102,7 @@
         """Play the day and return its score."""
         now = -_LEAD_SECONDS
         pending = list(reversed(self._arrivals))
-        while now < load_module.DAY_SECONDS + _AFTER_SECONDS:
+        while now < load_module.DAY_SECONDS + _DRAIN_SECONDS:
             replan = False
             while pending and pending[-1].at <= now:
                 self._submit(pending.pop())
--- a/tools/emulator/metered.py
+++ b/tools/emulator/metered.py
@@ -54,9 +54,9 @@
     lags : list of float
         For each tick, the seconds of unfinished work that the event loop's
         next task has to wait for.
-    used : list of float
+    cpu_seconds : list of float
         The CPU seconds of each tick.
-    starts : dict of str to float
+    start_delays : dict of str to float
         For each job the seconds from its arrival to its first claim, the
         lag included.
     """
@@ -66,8 +66,8 @@
         self._meter = Meter()
         self._backlog_seconds = 0.0
         self.lags: list[float] = []
-        self.used: list[float] = []
-        self.starts: dict[str, float] = {}
+        self.cpu_seconds: list[float] = []
+        self.start_delays: dict[str, float] = {}
 
     def _note_elapsed(self, seconds: float) -> None:
         cost = self._meter.calls * _CALL_SECONDS
@@ -76,7 +76,7 @@
             self._backlog_seconds + cost - seconds, 0.0
         )
         self.lags.append(self._backlog_seconds)
-        self.used.append(cost)
+        self.cpu_seconds.append(cost)
 
     def _read(
         self, view: instances.Instance, report: fleet_pb2.Report, clock: float
@@ -92,7 +92,7 @@
             delay_seconds = (
                 clock - job.accepted_ms / _MILLISECONDS + self._backlog_seconds
             )
-            self.starts.setdefault(job.id, delay_seconds)
+            self.start_delays.setdefault(job.id, delay_seconds)
         return claims
 
 
--- a/tools/emulator/truth.py
+++ b/tools/emulator/truth.py
@@ -16,10 +16,10 @@
         A serving task's tail latency without load.
     target_factor : float
         Its target, as a multiple of the base latency.
-    mean_load, swing : float
+    mean_load, load_variation : float
         A serving task's mean load, and the amplitude of its variation
         relative to the mean.
-    swing_seconds : float
+    load_period_seconds : float
         The period of the variation.
     interfering_share : float
         The share of all pairs of images that interfere strongly.
@@ -31,7 +31,7 @@
         If a spread is given, coefficients of interfering pairs are drawn
         around this strength without a gap to the others: the spread is
         the standard deviation of their logarithm.
-    wave : str
+    waveform : str
         The form of load variation, a key of ``WAVEFORMS``.
     serving_images, best_effort_images : int
         The number of images of either kind.
@@ -50,15 +50,15 @@
     base_latency_ms: float = 4.0
     target_factor: float = 4.5
     mean_load: float = 0.42
-    swing: float = 0.5
-    swing_seconds: float = 10.0
+    load_variation: float = 0.5
+    load_period_seconds: float = 10.0
     interfering_share: float = 0.33
     stop_seconds: float = 0.2
     restore_seconds: float = 0.1
     estimate_error: float = 0.2
     strength: float = 1.5
     strength_spread: float = 0.0
-    wave: str = 'sine'
+    waveform: str = 'sine'
     serving_images: int = 5
     best_effort_images: int = 9
     serving_use: float = 1.0
@@ -158,8 +158,12 @@
         """Return the load of a serving step's tasks."""
         if step_name not in self._phases:
             self._phases[step_name] = self._random.random()
-        periods = now / self.shape.swing_seconds + self._phases[step_name]
-        variation = self.shape.swing * WAVEFORMS[self.shape.wave](periods)
+        periods = (
+            now / self.shape.load_period_seconds + self._phases[step_name]
+        )
+        variation = self.shape.load_variation * WAVEFORMS[self.shape.waveform](
+            periods
+        )
         return self.shape.mean_load * (1 + variation)
 
     def measure_latency(self, fullness: float) -> float:
--- a/tools/emulator/yardsticks.py
+++ b/tools/emulator/yardsticks.py
@@ -85,7 +85,7 @@
         factor = interference.EXPECTED_MAXIMA[
             min(step_count, len(interference.EXPECTED_MAXIMA)) - 1
         ]
-        deviation = shape.mean_load * shape.swing * _SINE_DEVIATION
+        deviation = shape.mean_load * shape.load_variation * _SINE_DEVIATION
         return shape.mean_load + factor * deviation
 
     def estimate_uncertainty(self) -> float:
