--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -14,7 +14,7 @@
 
 
 def describe_threads(pid: int) -> list[str]:
-    """Return who owns each thread of a process, from the kernel's view."""
+    """Return process and user of each thread, as the kernel reports them."""
     owners = []
     for folder in sorted(pathlib.Path(f'/proc/{pid}/task').iterdir()):
         status = dict(
@@ -29,7 +29,7 @@
 
 
 def list_files(root: pathlib.Path) -> dict[str, tuple[int, int]]:
-    """Return each file's size and time of change."""
+    """Return each file's size and modification time."""
     return {
         str(path): (path.stat().st_size, path.stat().st_mtime_ns)
         for path in root.rglob('*')
@@ -41,13 +41,15 @@
     @classmethod
     def setUpClass(cls):
         super().setUpClass()
-        cls.built = tempfile.TemporaryDirectory(prefix='persimmonsail-')
-        cls.program = pathlib.Path(cls.built.name) / 'persimmonsail'
+        cls.build_directory = tempfile.TemporaryDirectory(
+            prefix='persimmonsail-'
+        )
+        cls.program = pathlib.Path(cls.build_directory.name) / 'persimmonsail'
         binary.build(cls.program)
 
     @classmethod
     def tearDownClass(cls):
-        cls.built.cleanup()
+        cls.build_directory.cleanup()
         super().tearDownClass()
 
     def make_environment(self, root: pathlib.Path) -> dict[str, str]:
@@ -70,11 +72,11 @@
         self.assertEqual([owner], describe_threads(process.pid))
 
     async def test_each_role_is_one_process_of_one_thread(self):
-        """An instance's slot for one small process is exceeded.
+        """Guards against a loader that stays as a parent process.
 
-        The file's loader starts the program as a child and waits for
-        it; a signal to the one that the platform knows does not reach
-        the one that works.
+        It would exceed the instance's allowance of one small process,
+        and a signal sent to the process known to the platform would not
+        reach the child that runs the program.
         """
         root = self.make_directory()
         command = ['env', f'SHIV_ROOT={root}', str(self.program)]
@@ -99,10 +101,11 @@
             self.assertEqual(0, await entry.stop())
 
     def test_two_first_starts_at_once_both_work(self):
-        """One of two roles fails on a fresh instance.
+        """Guards against a failed first start on a new instance.
 
-        Both start at once, both unpack to the same folder, and one
-        imports a module that the other has written half.
+        Several roles start simultaneously and unpack to the same
+        folder; one may import a module that another has only partly
+        written.
         """
         root = self.make_directory() / 'root'
         started = [self.run_version(root) for _ in range(4)]
@@ -112,24 +115,24 @@
             self.assertEqual(0, process.returncode)
 
     def test_a_second_start_writes_nothing(self):
-        """Nothing starts any more once the folder is read-only."""
+        """Guards against failing to start from a read-only folder."""
         root = self.make_directory() / 'root'
         self.assertEqual(0, self.run_version(root).wait(_WAIT_SECONDS))
         before = list_files(root)
         self.assertEqual(0, self.run_version(root).wait(_WAIT_SECONDS))
         self.assertEqual(before, list_files(root))
 
-    def test_a_folder_that_cannot_be_written_is_said(self):
+    def test_unwritable_folder_is_reported(self):
         process = self.run_version(pathlib.Path('/proc/none'))
         output, _ = process.communicate(timeout=_WAIT_SECONDS)
         self.assertEqual(1, process.returncode)
         self.assertIn('/proc/none', output)
 
-    def test_two_builds_are_the_same_file(self):
-        again = self.make_directory() / 'persimmonsail'
-        binary.build(again)
-        self.assertEqual(self.program.read_bytes(), again.read_bytes())
+    def test_builds_are_reproducible(self):
+        second_build = self.make_directory() / 'persimmonsail'
+        binary.build(second_build)
+        self.assertEqual(self.program.read_bytes(), second_build.read_bytes())
 
-    def test_reads_pins_and_leaves_out_what_is_only_declared(self):
+    def test_reads_pins_without_packages_that_are_not_bundled(self):
         text = '# why\nanyio==4.16.0\npbr==7.1.3\nsetuptools==84.2.1\n'
         self.assertEqual({'anyio': '4.16.0'}, binary.read_pins(text))
--- a/tests/test_quick_keys.py
+++ b/tests/test_quick_keys.py
@@ -16,7 +16,7 @@
 
 class SameKeyTest(base.TestCase):
     @contextlib.asynccontextmanager
-    async def open_pairs(self):
+    async def open_paired_site(self):
         """Open a site of two entries and two instances."""
         directory = self.make_directory()
         async with quickcase.open_site(directory, entries=2) as site:
@@ -25,14 +25,14 @@
             await site.wait_ready('one', 'two')
             yield site
 
-    async def test_one_key_at_two_entries_at_once_runs_once(self):
-        """A buyer's order is placed twice.
+    async def test_same_key_at_two_entries_runs_once(self):
+        """Guards against executing a request with one key twice.
 
-        The caller's client gives up on one entry and sends the same key
-        to another while the first request is on its way. Both reach the
-        claim in the store; the loser joins the winner's attempt.
+        The client abandons its request at one entry and sends the same
+        key to another while the first is in flight. Both try to claim
+        the key in the store; the loser joins the winner's attempt.
         """
-        async with self.open_pairs() as site:
+        async with self.open_paired_site() as site:
             for number in range(10):
                 headers = {'idempotency-key': f'order-{number}'}
                 body = {'n': number, 'seconds': 0.2}
@@ -46,16 +46,17 @@
             self.assertEqual(10, len(await site.read_all()))
 
             headers = {'idempotency-key': 'order-3'}
-            again = await site.post('order', {'n': 4}, 0, headers)
-            self.assertEqual(422, again.status_code)
+            conflict = await site.post('order', {'n': 4}, 0, headers)
+            self.assertEqual(422, conflict.status_code)
             self.assertEqual(10, len(await site.read_all()))
 
-    async def test_claim_needs_the_store_and_says_not_run_without(self):
-        """An order runs twice because the store was down.
+    async def test_keyed_order_is_refused_as_not_run_without_store(self):
+        """Guards against duplicate execution while the store is down.
 
-        Without the store no entry can know whether another has the key:
-        the order is refused at once, as not run, with a time to return.
-        Orders without a key and checks are served on.
+        Without the store an entry cannot find out whether another one
+        holds the key: the order is refused immediately as not run, with
+        Retry-After. Requests without a key and idempotent checks are
+        still served.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one')
@@ -73,16 +74,16 @@
             )
             self.assertEqual(200, answer.status_code)
 
-    async def test_key_repeated_elsewhere_after_its_entry_died(self):
-        """A buyer sends an order again and it is placed twice.
+    async def test_retry_after_entry_kill_joins_first_attempt(self):
+        """Guards against duplicate execution on a retry.
 
-        The entry is killed while the backend server works. The caller
-        repeats its key at another entry, which joins the claim: it gets
-        the answer of the first attempt.
+        The entry is killed while the backend server executes the order.
+        The caller retries with its key at another entry, which joins
+        the claim and returns the answer of the first attempt.
         """
-        async with self.open_pairs() as site:
+        async with self.open_paired_site() as site:
 
-            async def lose_answer() -> None:
+            async def expect_no_answer() -> None:
                 try:
                     await site.post('order', LONG_ORDER, 0, KEY)
                 except httpx.HTTPError:
@@ -93,20 +94,20 @@
                 await site.wait_work_started()
                 site.entries[0].send_signal(signal.SIGKILL)
 
-            await quickcase.gather(lose_answer(), kill_when_running())
+            await quickcase.gather(expect_no_answer(), kill_when_running())
             answer = await site.post('order', LONG_ORDER, 1, KEY)
             self.assertEqual(200, answer.status_code, answer.text)
             self.assertEqual(1, answer.json()['echo']['n'])
             self.assertEqual(1, len(await site.read_all()))
 
-    async def test_key_of_a_killed_sidecar_never_runs_again(self):
-        """A build order with a key runs on a second instance.
+    async def test_key_never_runs_again_after_sidecar_kill(self):
+        """Guards against rerunning a keyed order on a second instance.
 
-        The claimed instance's sidecar dies while the order runs; the
-        caller repeats the key at both entries. Nobody can know whether
-        it ran, so that all of them say 'unknown'.
+        The claimed instance's sidecar is killed while the order runs;
+        the caller retries the key at both entries. Whether the order
+        ran cannot be determined, so all answers are 'unknown'.
         """
-        async with self.open_pairs() as site:
+        async with self.open_paired_site() as site:
 
             async def kill_when_running() -> None:
                 name = await site.wait_work_started()
@@ -117,7 +118,7 @@
             )
             self.assertEqual('unknown', first.json()['work'])
             for entry in (0, 1):
-                again = await site.post('order', LONG_ORDER, entry, KEY)
-                self.assertEqual(504, again.status_code)
-                self.assertEqual('unknown', again.json()['work'])
+                retry = await site.post('order', LONG_ORDER, entry, KEY)
+                self.assertEqual(504, retry.status_code)
+                self.assertEqual('unknown', retry.json()['work'])
             self.assertEqual(1, len(await site.read_all()))
--- a/tests/test_quick_processes.py
+++ b/tests/test_quick_processes.py
@@ -14,12 +14,12 @@
 
 
 class SilentLinkTest(base.TestCase):
-    async def test_request_lost_on_a_silent_link_runs_elsewhere(self):
-        """An order waits for its whole timeout and then fails.
+    async def test_request_lost_on_silent_link_runs_elsewhere(self):
+        """Guards against an order that fails only at its timeout.
 
-        The link to its sidecar loses all bytes from now on and raises
-        no error. The request never arrives; the entry settles it over a
-        fresh connection, where it is barred, and sends it elsewhere.
+        The link to the sidecar silently drops all bytes without an
+        error. The request never arrives; the entry settles it over a
+        new connection, where it is barred from running, and reroutes it.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one', proxied=True)
@@ -43,12 +43,12 @@
             answer = await site.post('order', {'n': 2})
             self.assertEqual(200, answer.status_code)
 
-    async def test_answer_lost_on_a_silent_link_reaches_its_caller(self):
-        """An order ran, yet its caller waits and is told nothing.
+    async def test_answer_lost_on_silent_link_reaches_caller(self):
+        """Guards against losing the answer of an order that ran.
 
-        The link goes silent while the backend server works, so that the
-        answer is lost. The entry settles over a fresh connection and
-        gets the outcome that the sidecar kept; nothing runs twice.
+        The link goes silent while the backend server executes, so the
+        answer is lost. The entry settles over a new connection and gets
+        the outcome that the sidecar recorded; nothing runs twice.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one', proxied=True)
@@ -74,31 +74,35 @@
             self.assertEqual(1, len(await site.read_all()))
 
     async def test_silent_backend_connections_delay_no_new_request(self):
-        """All orders of one instance time out, one after the other.
+        """Guards against orders timing out one by one on an instance.
 
-        The connections to the backend server go silent for good, those
-        that wait for an answer and those that are kept. A request that
-        waits has an unknown outcome at its deadline; new work goes over
-        fresh connections.
+        All connections to the backend server go silent permanently,
+        both those awaiting an answer and idle keep-alive ones. A
+        request in flight ends as unknown at its deadline; new requests
+        use new connections.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one', proxied_backend=True)
             await site.wait_ready('one')
-            warm = [
+            warm_up_requests = [
                 site.post('order', {'n': n, 'seconds': 0.2}) for n in range(4)
             ]
-            await quickcase.gather(*warm)
+            await quickcase.gather(*warm_up_requests)
             proxy = site.proxies['backend-one']
             backend = site.running.processes['backend-one']
-            patience = {'request-timeout': '3'}
+            timeout_header = {'request-timeout': '3'}
 
             async def cut_when_running() -> httpx.Response:
                 await backend.wait_event('work', count=5)
                 await site.running.set_faults(proxy, mode='silent')
-                return await site.post('order', {'n': 5}, headers=patience)
+                return await site.post(
+                    'order', {'n': 5}, headers=timeout_header
+                )
 
             lost, answer = await quickcase.gather(
-                site.post('order', {'n': 4, 'seconds': 0.5}, headers=patience),
+                site.post(
+                    'order', {'n': 4, 'seconds': 0.5}, headers=timeout_header
+                ),
                 cut_when_running(),
             )
             self.assertEqual(504, lost.status_code)
@@ -107,14 +111,14 @@
 
 
 class LostProcessTest(base.TestCase):
-    async def test_killed_sidecar_leaves_the_outcome_unknown_at_once(self):
-        """A caller waits for minutes for an order that may have run.
-
-        The sidecar dies while the backend server works. Its record is
-        gone, so that nobody can say whether the order ran: the answer
-        'unknown' comes now, and the order is never sent again. A check
-        is idempotent and is answered by another instance, which comes
-        back before the kill.
+    async def test_killed_sidecar_gives_unknown_outcome_immediately(self):
+        """Guards against waiting minutes for an order that may have run.
+
+        The sidecar is killed while the backend server executes. Its
+        record is lost, so whether the order ran cannot be determined:
+        the answer 'unknown' comes immediately, and the order is not
+        resent. A check is idempotent and is answered by another
+        instance, which returns to service before the kill.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one')
@@ -144,17 +148,19 @@
             self.assertEqual(504, order.status_code)
             self.assertEqual('unknown', order.json()['work'])
             self.assertEqual(200, check.status_code)
-            # The check begins again after the kill; it takes seconds.
+            # The check restarts after the kill and takes 8 s, so it ends
+            # last.
             self.assertEqual(['order', 'check'], ended)
             ran = [run['body']['n'] for run in await site.read_all()]
             self.assertEqual(1, ran.count(1))
 
     async def test_frozen_sidecar_never_runs_an_order_twice(self):
-        """An order is answered by one instance and runs on another too.
+        """Guards against running an order on two instances.
 
-        The sidecar is frozen before the order arrives, so that it waits
-        in a buffer. The entry can't settle it and says 'unknown' at the
-        deadline; the thawed sidecar may run it, at most once.
+        The sidecar is frozen before the order arrives, so the order
+        stays in a socket buffer. The entry cannot settle it and answers
+        'unknown' at the deadline; once resumed, the sidecar may run it
+        at most once.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one')
@@ -166,7 +172,7 @@
             self.assertEqual(504, answer.status_code)
             self.assertEqual('unknown', answer.json()['work'])
             one.send_signal(signal.SIGCONT)
-            # The entry knows the instance again with its next report.
+            # The entry routes to the instance again after its next report.
             for _ in range(200):
                 answer = await site.post('order', {'n': 2})
                 if answer.status_code == 200:
@@ -178,12 +184,12 @@
 
 
 class HedgeTest(base.TestCase):
-    async def test_late_check_is_hedged_and_its_loser_cancelled(self):
-        """A crew stands idle behind one slow machine.
+    async def test_slow_check_is_hedged_and_slower_attempt_cancelled(self):
+        """Guards against checks delayed by one stalled backend server.
 
         A backend server stops answering. Checks that take longer than
-        most did are sent to another one as well; the first attempt is
-        cancelled, so that it holds no slot. Orders are never hedged.
+        most previous ones are also sent to another server; the first
+        attempt is cancelled to free its slot. Orders are never hedged.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one', **{'health-interval': '60'})
@@ -195,7 +201,7 @@
             backend = site.running.processes['backend-one']
             backend.send_signal(signal.SIGSTOP)
             entry = site.entries[0]
-            # A busy machine may have seen hedges before the fault.
+            # On a loaded machine, hedges may occur before the fault.
             before = len(one.find('outcome', verdict='unknown'))
             for number in range(100, 300):
                 answer = await site.post('check', {'n': number})
@@ -209,8 +215,8 @@
                 one.find('settle', attempt=ended['attempt'], cancel='yes')
             )
             backend.send_signal(signal.SIGCONT)
-            # The slots of cancelled attempts are free again; one that
-            # is lost would be counted for ever.
+            # The slots of cancelled attempts are released; a leaked slot
+            # would be counted as busy forever.
             for number in range(300, 500):
                 await site.post('check', {'n': number})
                 if one.find('outcome')[-1]['busy_slots'] == '0':
@@ -225,20 +231,21 @@
 
 
 class OutOfOrderTest(base.TestCase):
-    async def test_request_later_than_its_settlement_does_not_run(self):
-        """A caller was told 'not run', and then the order ran.
+    async def test_request_arriving_after_settlement_does_not_run(self):
+        """Guards against running an order after answering 'not-run'.
 
-        The request was delayed on the way; the entry asked what became
-        of it first, and passed on that it did not run.
+        The request is delayed in transit; the entry's settlement
+        arrives first, and its verdict that the request did not run is
+        passed on to the caller.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one')
             await site.wait_ready('one')
             listening = one.find('listening')[0]
-            with links.Links() as opened:
+            with links.Links() as link_pool:
 
                 async def call(method, message):
-                    return await opened.call(
+                    return await link_pool.call(
                         listening['control'],
                         control_grpc.SidecarStub,
                         method,
@@ -277,11 +284,11 @@
                 self.assertEqual(first.body, third.body)
                 self.assertEqual(1, len(await site.read_all()))
 
-    async def test_each_caller_gets_its_own_answer_through_delays(self):
-        """A seller sees the tags of another seller's horse.
+    async def test_each_caller_gets_its_own_answer_despite_delays(self):
+        """Guards against returning one caller's answer to another.
 
-        Answers of many requests come late and in another order, over
-        one slow link that is cut in between.
+        Answers to many requests arrive late and out of order over one
+        slow link that is cut once.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one', proxied=True)
@@ -307,12 +314,12 @@
                 self.assertEqual(200, answer.status_code, answer.text)
                 self.assertEqual(number, answer.json()['echo']['n'])
 
-    async def test_caller_gone_before_its_answer_leaves_nothing_behind(self):
-        """An instance takes less and less work until it takes none.
+    async def test_caller_disconnect_leaks_no_slot(self):
+        """Guards against leaked slots that use up an instance.
 
-        Callers hang up before their answers come. The work goes on and
-        is recorded; its slot and commitment are given back, and the
-        entry no longer counts it as outstanding.
+        Callers disconnect before their answers arrive. The work
+        continues and is recorded; its slot and commitment are released,
+        and the entry no longer counts it as outstanding.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one', proxied=True, slots=2)
@@ -321,25 +328,24 @@
                 site.proxies['one'], mode='pass', delay=0.1
             )
 
-            async def wait_answer(number: int) -> None:
+            async def post_until_cancelled(number: int) -> None:
                 await site.post('order', {'n': number, 'seconds': 1.5})
-                self.fail('an answer came')
+                self.fail('received an answer after disconnecting')
 
             async with anyio.create_task_group() as callers:
                 for number in range(2):
-                    callers.start_soon(wait_answer, number)
-                # They hang up once the work is under way, however long
-                # that takes here.
+                    callers.start_soon(post_until_cancelled, number)
+                # Disconnect only once both requests are dispatched.
                 await one.wait_event('dispatch', count=2)
                 callers.cancel_scope.cancel()
-            # Of the work, not of the call: a call ends with its link, and
-            # the entry then learns the outcome over a fresh one.
+            # The outcome of the work, not of the call: a call ends with its
+            # link, and the entry then gets the outcome over a new one.
             await one.wait_event('outcome', count=2, verdict='answered')
-            # The sidecar's line is written before its reply leaves; only
-            # the entry's line says that the entry has the reply.
+            # The sidecar logs before it sends its reply; only the entry's
+            # log line shows that the entry has received the reply.
             await site.entries[0].wait_event('answer', count=2)
-            # Replies overtake each other, so a slot may look busy until the
-            # next announcement; one that was leaked looks so for ever.
+            # Replies may be reordered, so a slot may appear busy until the
+            # next announcement; a leaked slot appears busy forever.
             counts = []
             posted = 0
             with anyio.move_on_after(10.0):
@@ -360,10 +366,10 @@
             self.assertEqual([True] * (2 + posted), ended)
 
     async def test_truncated_or_oversized_answer_is_never_passed_on(self):
-        """A caller reads half an answer and takes it for the whole.
+        """Guards against a partial answer being taken for a complete one.
 
-        The backend server's connection breaks inside the answer, or the
-        answer is larger than what is passed on.
+        The backend server's connection breaks within the answer, or the
+        answer exceeds the size limit.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one')
--- a/tests/test_quick_stops.py
+++ b/tests/test_quick_stops.py
@@ -10,10 +10,11 @@
 
 class LeavingTest(base.TestCase):
     async def test_leaving_backend_server_gets_no_new_work(self):
-        """A runner that is shut down for repair is given new checks.
+        """Guards against routing new work to a leaving backend server.
 
-        The backend server says that it leaves; its sidecar's probe sees
-        it and reports. Once the entry knows, nothing goes there.
+        The backend server reports that it is leaving; its sidecar's
+        probe observes this and announces it. Once the entry has the
+        announcement, it routes nothing there.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one')
@@ -30,12 +31,13 @@
             await site.send_backend_action('one', 'return')
             await site.entries[0].wait_event('serving', instance='one')
 
-    async def test_leaving_is_kept_while_its_report_is_lost(self):
-        """A leaving runner gets new work because the report was lost.
+    async def test_leaving_sidecar_refuses_work_while_its_report_is_lost(self):
+        """Guards against new work on a leaving backend server.
 
-        The link over which the sidecar announces goes silent just then.
-        The entry goes on choosing the instance; the sidecar refuses all
-        of it as not run, and the request goes elsewhere.
+        The link for the sidecar's announcements freezes before the
+        report is sent. The entry still selects the instance; the
+        sidecar refuses each request as not run, and the entry reroutes
+        it.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             address, control = await site.running.start_proxy(
@@ -55,10 +57,10 @@
 
 class GracefulStopTest(base.TestCase):
     async def test_waiting_caller_is_answered_when_its_entry_stops(self):
-        """A caller that waits for a build loses its connection.
+        """Guards against dropping the connection of a waiting caller.
 
-        Its entry is replaced; the wait ends at once with the build's
-        present state, and the entry exits with code 0.
+        The entry is stopped; the wait ends immediately with the build's
+        current state, and the entry exits with code 0.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             await site.add_sidecar('one')
@@ -85,18 +87,18 @@
             self.assertEqual('claimed', answer.json()['phase'])
 
 
-class Balancer:
-    """Sends orders to ready entries until told to stop."""
+class LoadBalancer:
+    """Sends orders to ready entries until stopped."""
 
     def __init__(self, site: quickcase.Site) -> None:
         self.site = site
         self.answers: dict[int, httpx.Response] = {}
-        self.cut_off: list[tuple[int, str]] = []
+        self.aborted: list[tuple[int, str]] = []
         self.stopped = False
         self.number = 0
 
     async def run(self) -> None:
-        """Send one order after the other, over kept connections."""
+        """Send orders one at a time over keep-alive connections."""
         limits = httpx.Limits(max_keepalive_connections=4)
         async with httpx.AsyncClient(
             trust_env=False, timeout=30, limits=limits
@@ -106,8 +108,8 @@
                 await self._send(client, self.number)
 
     async def _send(self, client: httpx.AsyncClient, number: int) -> None:
-        for turn in range(200):
-            url = self.site.url(turn % len(self.site.entries))
+        for attempt in range(200):
+            url = self.site.url(attempt % len(self.site.entries))
             try:
                 ready = await client.get(f'{url}/ready')
             except httpx.HTTPError:
@@ -124,19 +126,19 @@
             except httpx.ConnectError:
                 continue
             except httpx.HTTPError as error:
-                self.cut_off.append((number, repr(error)))
+                self.aborted.append((number, repr(error)))
             return
-        self.cut_off.append((number, 'no entry was ready'))
+        self.aborted.append((number, 'no entry was ready'))
 
 
 class RollingReplacementTest(base.TestCase):
-    async def test_replacing_all_processes_cuts_off_no_request(self):
-        """During a release some callers see resets and double orders.
+    async def test_replacing_all_processes_aborts_no_request(self):
+        """Guards against connection resets and duplicates in a release.
 
-        Two entries and three sidecars are replaced one by one while
-        orders come without a pause. Each order is answered and runs
-        exactly once; an instance that has said that it leaves admits
-        nothing after the entries know it.
+        Two entries and three sidecars are replaced one by one under
+        continuous load. Each order is answered and runs exactly once; a
+        leaving instance admits nothing after the entries have been
+        notified.
         """
         async with quickcase.open_site(
             self.make_directory(), entries=2
@@ -145,48 +147,48 @@
             for name in names:
                 await site.add_sidecar(name)
             await site.wait_ready(*names)
-            balancer = Balancer(site)
+            load_balancer = LoadBalancer(site)
             async with anyio.create_task_group() as group:
                 for _ in range(4):
-                    group.start_soon(balancer.run)
+                    group.start_soon(load_balancer.run)
                 await self._replace_all(site, names)
-                balancer.stopped = True
-            self.assertEqual([], balancer.cut_off)
-            bad = {
+                load_balancer.stopped = True
+            self.assertEqual([], load_balancer.aborted)
+            failed = {
                 number: answer.text
-                for number, answer in balancer.answers.items()
+                for number, answer in load_balancer.answers.items()
                 if answer.status_code != 200
             }
-            self.assertEqual({}, bad)
-            self.assertGreater(len(balancer.answers), 50)
+            self.assertEqual({}, failed)
+            self.assertGreater(len(load_balancer.answers), 50)
             ran = sorted(run['body']['n'] for run in await site.read_all())
-            self.assertEqual(sorted(balancer.answers), ran)
+            self.assertEqual(sorted(load_balancer.answers), ran)
 
     async def _replace_all(self, site, names) -> None:
         running = site.running
         for name in names:
             self.assertEqual(0, await running.processes[name].stop())
-            found = await site.add_sidecar(name)
-            incarnation = found.find('listening')[0]['incarnation']
+            new_sidecar = await site.add_sidecar(name)
+            incarnation = new_sidecar.find('listening')[0]['incarnation']
             for entry in site.entries:
                 await entry.wait_event('announced', incarnation=incarnation)
         for index in range(2):
-            old = site.entries[index]
-            self.assertEqual(0, await old.stop())
-            fresh = await running.start_entry(f'new-{index}')
-            site.entries[index] = fresh
-            await fresh.wait_event('catalogue')
+            old_entry = site.entries[index]
+            self.assertEqual(0, await old_entry.stop())
+            new_entry = await running.start_entry(f'new-{index}')
+            site.entries[index] = new_entry
+            await new_entry.wait_event('catalogue')
             for name in names:
-                await fresh.wait_event('announced', instance=name)
+                await new_entry.wait_event('announced', instance=name)
 
 
 class StopInFlightTest(base.TestCase):
-    async def test_entry_and_sidecar_stop_together_around_a_request(self):
-        """An order is cut off because two releases met.
+    async def test_entry_and_sidecar_stop_during_a_request(self):
+        """Guards against aborting an order when two releases overlap.
 
-        Its entry and its sidecar are both told to stop while the
-        backend server works. The caller gets the whole answer, then
-        both exit with code 0.
+        The entry and the sidecar are both stopped while the backend
+        server executes. The caller gets the complete answer, then both
+        exit with code 0.
         """
         async with quickcase.open_site(self.make_directory()) as site:
             one = await site.add_sidecar('one')
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -21,7 +21,7 @@
 
 
 class FitTest(base.TestCase):
-    def test_a_straight_line_is_found_without_residual(self):
+    def test_a_straight_line_has_no_residual(self):
         fit = make_fit(0.5, 3.0)
         self.assertAlmostEqual(0.5, fit.slope)
         self.assertAlmostEqual(3.0, fit.intercept)
@@ -35,7 +35,7 @@
         self.assertAlmostEqual(1.0, fit.intercept)
         self.assertAlmostEqual(1.0, fit.residual)
 
-    def test_fewer_than_four_drivers_are_no_slope(self):
+    def test_fewer_than_four_driver_values_give_no_slope(self):
         with testtools.ExpectedException(slope_fit.TooFewPoints):
             slope_fit.fit_line([(1, 1), (2, 2), (3, 3), (3, 3.1)])
 
@@ -62,7 +62,7 @@
         fleet = slope_sizes.Fleet()
         self.assertIsNone(slope_sizes.predict_role(terms, {}, fleet, 'cpu'))
 
-    def test_misses_are_named_with_their_factor(self):
+    def test_misses_are_listed_with_their_factor(self):
         fits = {
             ('holder', 'starts a second'): {'link_bytes': make_fit(1024, 0)}
         }
@@ -76,14 +76,14 @@
             lines,
         )
 
-    def test_tasks_spread_over_fewer_instances_than_there_are(self):
+    def test_tasks_spread_over_a_part_of_the_instances(self):
         fleet = slope_sizes.Fleet()
         self.assertLess(fleet.spread, fleet.workers)
         self.assertGreater(fleet.spread, fleet.workers / 2)
 
 
-class StillBench:
-    """Takes callers' requests, and measures nothing."""
+class FakeBench:
+    """Accepts requests and returns empty measurements."""
 
     def __init__(self):
         self.posts = 0
@@ -100,21 +100,22 @@
 
 class LoadTest(base.TestCase):
     async def test_a_fake_sidecar_reports_as_the_shipped_one_does(self):
-        # A series ended on a TypeError as soon as a sidecar's reports
-        # told of interference: the load opened announcers by itself.
+        # A series failed with a TypeError as soon as a sidecar's reports
+        # included interference: the load generator created announcers
+        # itself.
         proxy = slope_meter.CountingProxy()
         sidecar = slope_fakes.FakeSidecar('fake', 'piedmont-a', proxy)
         proxy.address = '127.0.0.1:1'
-        with links.Links() as opened:
-            sidecar.open_announcer(['127.0.0.1:2'], opened)
+        with links.Links() as link_pool:
+            sidecar.open_announcer(['127.0.0.1:2'], link_pool)
             self.assertEqual('fake', sidecar.announcer.describe(1).instance)
 
     async def test_the_holder_and_the_caller_are_measured_under_load(self):
-        # The series of starts ended on a TypeError: the measuring task
-        # bore the name of what it called, and called itself.
+        # The series of starts failed with a TypeError: the measuring
+        # function shadowed the function it called, and called itself.
         self.patch(slope_series, 'SETTLE_SECONDS', 0.0)
         plan = slope_series.Plan(pathlib.Path())
-        bench = StillBench()
+        bench = FakeBench()
         samples = await slope_series._load(bench, plan, 5, 'a', 'b')
         self.assertEqual({'a', 'b'}, set(samples))
 
@@ -136,16 +137,18 @@
             target = f'127.0.0.1:{port}'
             async with slope_meter.CountingProxy(target) as proxy:
                 host, _, number = proxy.address.rpartition(':')
-                async with await anyio.connect_tcp(host, int(number)) as far:
-                    await far.send(b'1234')
-                    self.assertEqual(b'1234!', await far.receive())
+                async with await anyio.connect_tcp(
+                    host, int(number)
+                ) as client:
+                    await client.send(b'1234')
+                    self.assertEqual(b'1234!', await client.receive())
             self.assertEqual(9, proxy.bytes)
             group.cancel_scope.cancel()
 
-    async def test_a_refused_command_is_no_figure(self):
-        # The series of the catalogue measured refusals: since an edit
-        # has to name the revision it began at, only its first point was
-        # a change, and nothing looked at the command's exit code.
+    async def test_a_rejected_command_raises(self):
+        # The series of the catalogue measured rejected edits: since an
+        # edit has to give its base revision, only the first point was a
+        # change, and the command's exit code was not checked.
         with testtools.ExpectedException(RuntimeError, 'catalogue ended'):
             await slope_commands._run_command(
                 'catalogue', 'apply', 'missing.ini', '--store', '127.0.0.1:1'
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -13,18 +13,18 @@
 
 
 class TenancyTest(base.TestCase):
-    def test_same_seed_gives_same_figures(self):
+    def test_same_seed_gives_same_results(self):
         runs = [make_world().execute(20.0).summarize() for _ in range(2)]
         self.assertEqual(runs[0], runs[1])
 
-    def test_every_policy_answers_all_and_doubles_nothing(self):
+    def test_every_policy_answers_all_without_duplicates(self):
         for policy in scenarios_limits.RULES:
             run = make_world(policy).execute(20.0)
             self.assertEqual((0, 0), (run.lost, run.doubled), policy)
             self.assertEqual(0, run.extras['overcommitted'])
             self.assertEqual(0, run.extras['unanswered'])
 
-    def test_a_lost_zone_and_store_double_nothing(self):
+    def test_zone_and_store_outage_cause_no_duplicates(self):
         world = make_world()
         world.clock.call_later(5.0, world.set_zone, 'b', False)
         world.clock.call_later(8.0, world.set_store, True)
@@ -34,9 +34,9 @@
         self.assertEqual((0, 0), (run.lost, run.doubled))
         self.assertEqual(0, run.extras['unanswered'])
 
-    def test_a_bad_instance_gets_three_tasks_before_quarantine(self):
+    def test_failing_instance_gets_three_tasks_before_quarantine(self):
         world = make_world()
-        bad = world.nodes['instance-04']
-        bad.broken = True
+        failing = world.nodes['instance-04']
+        failing.broken = True
         world.execute(20.0)
-        self.assertEqual(3, bad.starts - bad.canaries)
+        self.assertEqual(3, failing.starts - failing.canaries)
--- a/tools/fuzz.py
+++ b/tools/fuzz.py
@@ -1,8 +1,8 @@
-"""Runs the stateful fuzzing for long with fresh seeds: ``make fuzz``.
+"""Runs the stateful fuzzing repeatedly with new seeds: ``make fuzz``.
 
-Each round runs the machine of ``tests/test_stateful.py`` under a seed of
-its own, in a process of its own. A failure prints its seed and where its
-whole output is kept; the same seed brings it about again.
+Each round runs the state machine of ``tests/test_stateful.py`` with its own
+seed in its own process. A failure prints its seed and the path of its
+complete output; the same seed reproduces it.
 """
 
 import argparse
@@ -18,25 +18,25 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 _SEED_BITS = 32
-_BROKEN = re.compile(r'^E +(\S*Broken: .*|\S*Error: .*)$', re.MULTILINE)
+_ERROR_LINE = re.compile(r'^E +(\S*Broken: .*|\S*Error: .*)$', re.MULTILINE)
 
 
 @dataclasses.dataclass(frozen=True)
 class Round:
-    """One seed's run: whether it held, and what it printed."""
+    """One seed's run: whether it passed, and its output."""
 
     seed: int
-    held: bool
+    passed: bool
     output: str
 
     def describe(self) -> str:
-        """Return the first thing that broke."""
-        found = _BROKEN.search(self.output)
-        return found[1] if found else 'see the output'
+        """Return the first error in the output."""
+        match = _ERROR_LINE.search(self.output)
+        return match[1] if match else 'see the output'
 
 
 def run_round(seed: int, examples: int, steps: int, shrink: bool) -> Round:
-    """Run the machine under one seed, in a process of its own."""
+    """Run the state machine with one seed in its own process."""
     environment = {
         **os.environ,
         'PERSIMMONSAIL_FUZZ_SEED': str(seed),
@@ -57,7 +57,7 @@
 
 
 def main() -> int:
-    """Run all rounds; the exit code is one if any of them broke."""
+    """Run all rounds; the exit code is 1 if any of them failed."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--rounds', type=int, default=8)
     parser.add_argument('--examples', type=int, default=25)
@@ -65,32 +65,34 @@
     parser.add_argument('--processes', type=int, default=4)
     parser.add_argument('--seed', type=int, help='run this seed only')
     parser.add_argument('--shrink', action='store_true')
-    given = parser.parse_args()
-    fresh = random.SystemRandom()
-    seeds = [fresh.getrandbits(_SEED_BITS) for _ in range(given.rounds)]
-    if given.seed is not None:
-        seeds = [given.seed]
-    with concurrent.futures.ThreadPoolExecutor(given.processes) as pool:
+    arguments = parser.parse_args()
+    system_rng = random.SystemRandom()
+    seeds = [
+        system_rng.getrandbits(_SEED_BITS) for _ in range(arguments.rounds)
+    ]
+    if arguments.seed is not None:
+        seeds = [arguments.seed]
+    with concurrent.futures.ThreadPoolExecutor(arguments.processes) as pool:
         rounds = pool.map(
             lambda seed: run_round(
-                seed, given.examples, given.steps, given.shrink
+                seed, arguments.examples, arguments.steps, arguments.shrink
             ),
             seeds,
         )
-        broken = sum(not _report(one) for one in rounds)
-    most = len(seeds) * given.examples * given.steps
-    print(f'rounds={len(seeds)} steps_at_most={most} broken={broken}')
-    return 1 if broken else 0
+        failed = sum(not _report(result) for result in rounds)
+    max_steps = len(seeds) * arguments.examples * arguments.steps
+    print(f'rounds={len(seeds)} steps_at_most={max_steps} broken={failed}')
+    return 1 if failed else 0
 
 
-def _report(one: Round) -> bool:
-    if one.held:
-        print(f'seed={one.seed} held', flush=True)
+def _report(result: Round) -> bool:
+    if result.passed:
+        print(f'seed={result.seed} held', flush=True)
         return True
     directory = pathlib.Path(tempfile.mkdtemp(prefix='persimmonsail-fuzz-'))
-    path = directory / f'{one.seed}.txt'
-    path.write_text(one.output, encoding='utf-8')
-    print(f'seed={one.seed} broken {one.describe()}: {path}', flush=True)
+    path = directory / f'{result.seed}.txt'
+    path.write_text(result.output, encoding='utf-8')
+    print(f'seed={result.seed} broken {result.describe()}: {path}', flush=True)
     return False
 
 
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -22,15 +22,15 @@
             plan = trial.Plan(seed, arguments.seconds)
             report = await trial.Trial(plan, directory / 'site').run()
             reports.append(report)
-            verdict = 'BROKEN' if report.broken else 'held'
+            verdict = 'BROKEN' if report.violations else 'held'
             print(
                 f'seed={seed} jobs={report.jobs} starts={report.starts} '
                 f'faults={report.faults} {verdict}',
                 flush=True,
             )
-            for text in report.broken:
+            for text in report.violations:
                 print(f'  {text}')
-            if report.broken:
+            if report.violations:
                 print(f'  logs are kept in {directory}')
             else:
                 shutil.rmtree(directory)
@@ -38,13 +38,13 @@
     async with anyio.create_task_group() as group:
         for seed in range(arguments.first, arguments.first + arguments.seeds):
             group.start_soon(run_one, seed)
-    broken = sum(bool(report.broken) for report in reports)
-    print(f'seeds={len(reports)} broken={broken}')
-    return 1 if broken else 0
+    failed = sum(bool(report.violations) for report in reports)
+    print(f'seeds={len(reports)} broken={failed}')
+    return 1 if failed else 0
 
 
 def main() -> int:
-    """Run the seeds and return 1 if a promise broke."""
+    """Run the seeds and return 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=10)
     parser.add_argument(
--- a/tools/soaking/__init__.py
+++ b/tools/soaking/__init__.py
@@ -1,1 +1,1 @@
-"""Random faults on real processes, while promises are checked."""
+"""Injects random faults into real processes and checks guarantees."""
--- a/tools/soaking/callers.py
+++ b/tools/soaking/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they submit, ask, cancel, and never forget."""
+"""Callers of a soak: they submit, poll and cancel jobs."""
 
 import dataclasses
 import random
@@ -11,182 +11,185 @@
 from standins import platform_deployment
 from tools.soaking import site as site_module
 
-_PAUSE_SECONDS = 0.25
-_CALL_SECONDS = 4.0
+_POLL_SECONDS = 0.25
+_CALL_TIMEOUT_SECONDS = 4.0
 _CRASHING_SHARE = 0.06
-# Of the jobs that end by themselves, how many are cancelled, and how long
-# after they were handed in.
+# Share of the jobs that end by themselves that is cancelled, and the time
+# from submission to cancellation.
 _CANCELLED_SHARE = 0.2
-_CANCEL_AFTER = (0.0, 1.5)
-_FINAL = ('complete', 'failed', 'canceled')
+_CANCEL_DELAY_SECONDS = (0.0, 1.5)
+_FINAL_STATES = ('complete', 'failed', 'canceled')
 
 
 @dataclasses.dataclass
-class Call:
-    """A job as its caller knows it.
+class Job:
+    """A job as observed by its caller.
 
     Attributes
     ----------
     id : str
-        The caller's name for it.
-    lasts : bool
+        Chosen by the caller.
+    long_running : bool
         Whether its tasks run until it is cancelled.
-    crashes : bool
-        Whether its first task ends each worker's agent that starts it.
+    crashes_agent : bool
+        Whether its first task crashes each worker's agent that starts it.
     accepted, unknown, cancelled : bool
-        What the caller was told: that it is kept, that it may be, and
-        that its cancel is kept.
+        Answers received: the job is accepted, it may be, and its
+        cancellation is accepted.
     cancelled_at : float
-        When a cancel was first answered for good, in seconds since the
-        epoch; 0 if none was.
+        Time of the first final answer to a cancellation, in seconds
+        since the epoch; 0 if there was none.
     states : list of str
-        The states that were seen, without repetitions.
-    broken : list of str
-        What should not have been told.
+        Observed states, without repetitions.
+    violations : list of str
+        Answers that violate a guarantee.
     """
 
     id: str
-    lasts: bool
-    crashes: bool = False
+    long_running: bool
+    crashes_agent: bool = False
     accepted: bool = False
     unknown: bool = False
     cancelled: bool = False
     cancelled_at: float = 0.0
     states: list[str] = dataclasses.field(default_factory=list)
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
-    def note_state(self, state: str) -> None:
-        """Take an answer in; a final state never changes."""
+    def record_state(self, state: str) -> None:
+        """Record an observed state; a final state must not change."""
         if self.states and self.states[-1] == state:
             return
         if self.ended:
-            self.broken.append(f'{self.states[-1]} became {state}')
+            self.violations.append(
+                f'state {self.states[-1]} changed to {state}'
+            )
         self.states.append(state)
 
     @property
     def ended(self) -> bool:
-        """Whether a final state was seen."""
-        return bool(self.states) and self.states[-1] in _FINAL
+        """Whether a final state was observed."""
+        return bool(self.states) and self.states[-1] in _FINAL_STATES
 
     @property
     def settled(self) -> bool:
-        """Whether nothing is owed any more."""
+        """Whether no further answer is due."""
         return self.ended or not self.accepted
 
 
 class Callers:
-    """Submits jobs through all entries over kept connections."""
+    """Submits jobs through all entries over keep-alive connections."""
 
     def __init__(
         self,
         site: site_module.Site,
-        drawn: random.Random,
-        cancels: random.Random | None = None,
+        rng: random.Random,
+        cancel_rng: random.Random | None = None,
     ) -> None:
         self._site = site
-        self._random = drawn
-        # Apart, so that what a seed's callers hand in stays as it was.
-        self._cancels = cancels
-        self.calls: list[Call] = []
-        # Ended by the soak: callers then submit nothing more.
-        self.open = True
+        self._rng = rng
+        # Separate, so that cancellations do not change a seed's submissions.
+        self._cancel_rng = cancel_rng
+        self.jobs: list[Job] = []
+        # Cleared by the trial to stop further submissions.
+        self.submitting = True
 
     async def run(self) -> None:
-        """Submit jobs until told to stop, then wait for all of them."""
+        """Submit jobs until stopped, then wait for all of them."""
         async with anyio.create_task_group() as group:
             number = 0
-            while self.open:
+            while self.submitting:
                 number += 1
-                lasts = self._random.random() < 0.15
-                crashes = self._random.random() < _CRASHING_SHARE
-                call = Call(f'{number:016x}', lasts, crashes)
-                self.calls.append(call)
-                group.start_soon(self._follow, call)
-                if not lasts and self._draws_cancel():
-                    group.start_soon(self._cancel_later, call)
-                await anyio.sleep(self._random.uniform(0.05, 0.5))
-
-    async def _follow(self, call: Call) -> None:
-        if not await self._submit(call):
+                long_running = self._rng.random() < 0.15
+                crashes_agent = self._rng.random() < _CRASHING_SHARE
+                job = Job(f'{number:016x}', long_running, crashes_agent)
+                self.jobs.append(job)
+                group.start_soon(self._follow, job)
+                if not long_running and self._draw_cancel():
+                    group.start_soon(self._cancel_after_delay, job)
+                await anyio.sleep(self._rng.uniform(0.05, 0.5))
+
+    async def _follow(self, job: Job) -> None:
+        if not await self._submit(job):
             return
-        while not call.ended:
-            await anyio.sleep(_PAUSE_SECONDS)
-            # One that crashes its agents ends without being cancelled.
-            lasts = call.lasts and not call.crashes
-            if lasts and not call.cancelled and call.states:
-                await self._cancel(call)
-            await self._ask(call)
-
-    async def _submit(self, call: Call) -> bool:
-        body = self._make_body(call)
-        # A refused job may be given up; one that may be kept may not.
+        while not job.ended:
+            await anyio.sleep(_POLL_SECONDS)
+            # A job that crashes its agents ends without a cancellation.
+            long_running = job.long_running and not job.crashes_agent
+            if long_running and not job.cancelled and job.states:
+                await self._cancel(job)
+            await self._poll(job)
+
+    async def _submit(self, job: Job) -> bool:
+        body = self._make_body(job)
+        # The caller may abandon a refused job, but not one that may have
+        # been accepted.
         for _ in range(40):
-            status = await self._send('POST', call, body)
+            status = await self._send('POST', job, body)
             if status == 200:
-                call.accepted = True
+                job.accepted = True
                 return True
             if status == 410:
-                # Its cancel came first.
+                # Its cancellation arrived first.
                 return False
             if status != 503:
-                call.unknown = True
-            elif not call.unknown and self._random.random() < 0.05:
+                job.unknown = True
+            elif not job.unknown and self._rng.random() < 0.05:
                 return False
-            await anyio.sleep(_PAUSE_SECONDS)
-        return call.unknown
+            await anyio.sleep(_POLL_SECONDS)
+        return job.unknown
 
-    def _make_body(self, call: Call) -> dict:
-        crashing = 'crash=0.0.0 ' if call.crashes else ''
-        if call.lasts:
+    def _make_body(self, job: Job) -> dict:
+        crash_directive = 'crash=0.0.0 ' if job.crashes_agent else ''
+        if job.long_running:
             return platform_deployment.make_body(
-                2, payload=f'{crashing}lasts', longRunning=True
+                2, payload=f'{crash_directive}lasts', longRunning=True
             )
-        counts = [self._random.randrange(1, 4) for _ in range(2)]
-        payload = str(self._random.randrange(30, 900))
+        counts = [self._rng.randrange(1, 4) for _ in range(2)]
+        payload = str(self._rng.randrange(30, 900))
         return platform_deployment.make_body(
-            *counts, payload=crashing + payload
+            *counts, payload=crash_directive + payload
         )
 
-    def _draws_cancel(self) -> bool:
-        if self._cancels is None:
+    def _draw_cancel(self) -> bool:
+        if self._cancel_rng is None:
             return False
-        return self._cancels.random() < _CANCELLED_SHARE
-
-    async def _cancel_later(self, call: Call) -> None:
-        """Cancel a job, whether it is known to be kept or not."""
-        await anyio.sleep(self._cancels.uniform(*_CANCEL_AFTER))
-        while not call.cancelled_at and not call.ended:
-            await self._cancel(call)
-            await anyio.sleep(_PAUSE_SECONDS)
-
-    async def _cancel(self, call: Call) -> None:
-        status = await self._send('DELETE', call)
-        call.cancelled |= status == 200
-        if status in (200, 410) and not call.cancelled_at:
-            call.cancelled_at = time.time()
-
-    async def _ask(self, call: Call) -> None:
-        answer = await self._request('GET', call)
+        return self._cancel_rng.random() < _CANCELLED_SHARE
+
+    async def _cancel_after_delay(self, job: Job) -> None:
+        """Cancel a job, whether or not its acceptance is confirmed."""
+        await anyio.sleep(self._cancel_rng.uniform(*_CANCEL_DELAY_SECONDS))
+        while not job.cancelled_at and not job.ended:
+            await self._cancel(job)
+            await anyio.sleep(_POLL_SECONDS)
+
+    async def _cancel(self, job: Job) -> None:
+        status = await self._send('DELETE', job)
+        job.cancelled |= status == 200
+        if status in (200, 410) and not job.cancelled_at:
+            job.cancelled_at = time.time()
+
+    async def _poll(self, job: Job) -> None:
+        answer = await self._request('GET', job)
         if answer is None or answer.status_code == 503:
             return
         if answer.status_code == 410:
-            if call.accepted:
-                call.broken.append('an accepted job is not known')
+            if job.accepted:
+                job.violations.append('accepted job was not found')
             return
-        call.note_state(answer.json()['state'])
+        job.record_state(answer.json()['state'])
 
-    async def _send(self, method: str, call: Call, body: t.Any = None) -> int:
-        answer = await self._request(method, call, body)
+    async def _send(self, method: str, job: Job, body: t.Any = None) -> int:
+        answer = await self._request(method, job, body)
         return answer.status_code if answer is not None else 0
 
     async def _request(
-        self, method: str, call: Call, body: t.Any = None
+        self, method: str, job: Job, body: t.Any = None
     ) -> httpx.Response | None:
-        entry = self._random.choice(sorted(self._site.entries))
-        with anyio.move_on_after(_CALL_SECONDS):
+        entry = self._rng.choice(sorted(self._site.entries))
+        with anyio.move_on_after(_CALL_TIMEOUT_SECONDS):
             try:
-                return await self._site.call(entry, method, call.id, body)
+                return await self._site.call(entry, method, job.id, body)
             except httpx.HTTPError:
-                # A caller learns nothing from a broken connection.
+                # A broken connection gives no information about the job.
                 return None
         return None
--- a/tools/soaking/faults.py
+++ b/tools/soaking/faults.py
@@ -1,8 +1,8 @@
-"""What a soak does to a site from outside; decorators fill the registry.
+"""Faults that a soak injects into a site, registered by decorators.
 
-Each fault begins, lasts for a drawn time and is undone. Several go on at
-the same time, each at another process or at the store: an entry may be
-killed while another one stops, the store is silent and a worker is cut off.
+Each fault starts, lasts for a random time and is undone. Several are active
+simultaneously, each on a different process or on the store: an entry may be
+killed while another stops, the store is silent and a worker is isolated.
 """
 
 import random
@@ -14,29 +14,29 @@
 from persimmonsail.jobs import record
 from tools.soaking import site as site_module
 
-_SHORT = (0.2, 1.5)
-_LONG = (0.5, 6.0)
-# Late answers of a worker's agent.
-_LATE = (0.5, 3.0)
+_SHORT_SECONDS = (0.2, 1.5)
+_LONG_SECONDS = (0.5, 6.0)
+# Delay of writes in the store and of starts in a worker's agent.
+_DELAY_SECONDS = (0.5, 3.0)
 _RESTART_SECONDS = 0.3
-# Room for none, two, four and more tasks at once.
-_ROOMS = (400, 1000, 2000, 6000)
-# Of the losses of history, how many take the leased keys too.
+# Free capacity for none, two, four and more simultaneous tasks.
+_CAPACITIES_MILLICORES = (400, 1000, 2000, 6000)
+# Share of the losses of history that also revoke the leased keys.
 _REVOKED_SHARE = 0.5
 
 Fault = t.Callable[[site_module.Site, random.Random, str], t.Awaitable[None]]
-_Kind = t.Literal['process', 'instance', 'store']
+_TargetKind = t.Literal['process', 'instance', 'store']
 
-FAULTS: dict[str, tuple[_Kind, Fault]] = {}
-# Drawn beside the others, so that a seed that broke a promise with those goes
-# on bringing about the same.
-SILENCES: dict[str, tuple[_Kind, Fault]] = {}
+FAULTS: dict[str, tuple[_TargetKind, Fault]] = {}
+# Drawn separately from the others, so that a seed that violated a guarantee
+# with those still reproduces the same faults.
+SILENCES: dict[str, tuple[_TargetKind, Fault]] = {}
 
 
 def register(
-    kind: _Kind, series: dict[str, tuple[_Kind, Fault]] = FAULTS
+    kind: _TargetKind, series: dict[str, tuple[_TargetKind, Fault]] = FAULTS
 ) -> t.Callable[[Fault], Fault]:
-    """Add a fault of one kind of target, under the function's name."""
+    """Register a fault for a kind of target under the function's name."""
 
     def add(fault: Fault) -> Fault:
         series[fault.__name__] = (kind, fault)
@@ -47,22 +47,22 @@
 
 def draw(
     site: site_module.Site,
-    drawn: random.Random,
-    series: t.Mapping[str, tuple[_Kind, Fault]] = FAULTS,
+    rng: random.Random,
+    series: t.Mapping[str, tuple[_TargetKind, Fault]] = FAULTS,
 ) -> tuple[str, str, Fault]:
-    """Draw a fault of a series, and its target."""
-    name = drawn.choice(sorted(series))
+    """Draw a fault of a series and its target."""
+    name = rng.choice(sorted(series))
     kind, fault = series[name]
     targets = {
         'process': [*site.entries, *site.runners],
         'instance': [*site.runners],
         'store': ['store'],
     }[kind]
-    return name, drawn.choice(sorted(targets)), fault
+    return name, rng.choice(sorted(targets)), fault
 
 
-async def _sleep(drawn: random.Random, bounds: tuple[float, float]) -> None:
-    await anyio.sleep(drawn.uniform(*bounds))
+async def _sleep(rng: random.Random, bounds: tuple[float, float]) -> None:
+    await anyio.sleep(rng.uniform(*bounds))
 
 
 async def _set_proxy(
@@ -71,38 +71,34 @@
     await site.set_faults(site.proxies[name], mode=mode, delay=delay)
 
 
-async def _hold_link(
+async def _impair_link(
     site: site_module.Site,
-    drawn: random.Random,
+    rng: random.Random,
     name: str,
     mode: str,
     delay: float = 0.0,
 ) -> None:
-    """Keep a process's link in a mode for a drawn time."""
+    """Set the mode of a process's link for a random time."""
     await _set_proxy(site, name, mode, delay)
-    await _sleep(drawn, _LONG)
+    await _sleep(rng, _LONG_SECONDS)
     await _set_proxy(site, name, 'pass')
 
 
 @register('process')
-async def kill(
-    site: site_module.Site, drawn: random.Random, name: str
-) -> None:
-    """Kill a process; it comes back."""
+async def kill(site: site_module.Site, rng: random.Random, name: str) -> None:
+    """Kill a process and restart it."""
     await site.find_process(name).stop(signal.SIGKILL)
-    await _sleep(drawn, _SHORT)
+    await _sleep(rng, _SHORT_SECONDS)
     await site.restart(name)
 
 
 @register('process')
-async def stop(
-    site: site_module.Site, drawn: random.Random, name: str
-) -> None:
+async def stop(site: site_module.Site, rng: random.Random, name: str) -> None:
     """Stop a process gracefully, or kill it while it stops."""
     process = site.find_process(name)
     process.send_signal(signal.SIGTERM)
-    if drawn.random() < 0.3:
-        await _sleep(drawn, _SHORT)
+    if rng.random() < 0.3:
+        await _sleep(rng, _SHORT_SECONDS)
         await process.stop(signal.SIGKILL)
     else:
         await process.handle.wait()
@@ -111,181 +107,177 @@
 
 
 @register('process')
-async def pause(
-    site: site_module.Site, drawn: random.Random, name: str
-) -> None:
-    """Let a process stand still; its clock runs on."""
+async def pause(site: site_module.Site, rng: random.Random, name: str) -> None:
+    """Suspend a process while its clock advances."""
     process = site.find_process(name)
     process.send_signal(signal.SIGSTOP)
-    await _sleep(drawn, _LONG)
+    await _sleep(rng, _LONG_SECONDS)
     process.send_signal(signal.SIGCONT)
 
 
 @register('process')
 async def reload(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Tell a process that its settings changed."""
+    """Notify a process of changed settings with SIGHUP."""
     site.find_process(name).send_signal(signal.SIGHUP)
 
 
 @register('process')
-async def cut(site: site_module.Site, drawn: random.Random, name: str) -> None:
-    """Reset a process's link to the store or the agent, and refuse it."""
-    await _hold_link(site, drawn, name, 'cut')
+async def cut(site: site_module.Site, rng: random.Random, name: str) -> None:
+    """Reset a process's link to the store or agent and refuse new ones."""
+    await _impair_link(site, rng, name, 'cut')
 
 
 @register('process')
 async def cut_one_way(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let a process's calls arrive, and drop all answers."""
-    await _hold_link(site, drawn, name, 'one-way')
+    """Deliver a process's calls and drop all answers."""
+    await _impair_link(site, rng, name, 'one-way')
 
 
 @register('process')
 async def freeze(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Hold all bytes of a link up, and let them pass later."""
-    await _hold_link(site, drawn, name, 'freeze')
+    """Hold back all bytes of a link and deliver them later."""
+    await _impair_link(site, rng, name, 'freeze')
 
 
 @register('process')
 async def silence(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Drop all bytes of the open connections, for good."""
+    """Drop all bytes of the open connections permanently."""
     await _set_proxy(site, name, 'silent')
     await _set_proxy(site, name, 'pass')
 
 
 @register('process')
-async def delay(
-    site: site_module.Site, drawn: random.Random, name: str
-) -> None:
-    """Let each part of a link's bytes come late."""
-    await _hold_link(site, drawn, name, 'pass', drawn.uniform(0.02, 0.3))
+async def delay(site: site_module.Site, rng: random.Random, name: str) -> None:
+    """Delay each chunk of a link's bytes."""
+    await _impair_link(site, rng, name, 'pass', rng.uniform(0.02, 0.3))
 
 
 @register('store')
 async def refuse_calls(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let the store refuse, or not answer, any call."""
-    await site.set_faults(site.store, down=drawn.choice(('busy', 'silent')))
-    await _sleep(drawn, _LONG)
+    """Have the store refuse all calls or leave them unanswered."""
+    await site.set_faults(site.store, down=rng.choice(('busy', 'silent')))
+    await _sleep(rng, _LONG_SECONDS)
     await site.set_faults(site.store)
 
 
 @register('store')
 async def lose_answers(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Lose answers to writes that take effect, some of them late."""
+    """Lose answers to writes that take effect, some with a delay."""
     await site.set_faults(
         site.store,
-        lose_writes=drawn.randrange(1, 6),
-        delay_writes=drawn.choice((0.0, drawn.uniform(*_LATE))),
+        lose_writes=rng.randrange(1, 6),
+        delay_writes=rng.choice((0.0, rng.uniform(*_DELAY_SECONDS))),
     )
 
 
 @register('store')
 async def lose_history(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Forget all changes so far; sometimes take all leased keys away."""
+    """Drop the history of changes; sometimes revoke all leased keys."""
     await site.set_faults(
-        site.store, forget=True, revoke=drawn.random() < _REVOKED_SHARE
+        site.store, forget=True, revoke=rng.random() < _REVOKED_SHARE
     )
 
 
 @register('store')
 async def change_configuration(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
     """Write new versions of the configuration in quick succession."""
-    for _ in range(drawn.randrange(1, 4)):
+    for _ in range(rng.randrange(1, 4)):
         await site.change_configuration()
 
 
 @register('instance')
 async def crash_worker(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let a worker's agent crash; another boot takes its place."""
+    """Crash a worker's agent; another boot replaces it."""
     await site.set_faults(site.runners[name], restart=True)
 
 
 @register('instance')
 async def crash_many(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let all workers' agents crash at one moment."""
+    """Crash all workers' agents in quick succession."""
     for runner in site.runners.values():
         await site.set_faults(runner, restart=True)
 
 
 @register('instance')
 async def shrink_room(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let the capacity of an instance swing, and come back."""
-    for _ in range(drawn.randrange(1, 4)):
-        millicores = drawn.choice(_ROOMS)
+    """Vary the capacity of an instance, then restore it."""
+    for _ in range(rng.randrange(1, 4)):
+        millicores = rng.choice(_CAPACITIES_MILLICORES)
         await site.set_faults(site.runners[name], millicores=millicores)
-        await _sleep(drawn, _SHORT)
+        await _sleep(rng, _SHORT_SECONDS)
     await site.set_faults(site.runners[name])
 
 
 @register('instance')
 async def start_late(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Leave starts unanswered and carry them out later."""
+    """Leave starts unanswered and execute them later."""
     await site.set_faults(
         site.runners[name],
-        late_starts=drawn.randrange(1, 4),
-        late_seconds=drawn.uniform(*_LATE),
+        late_starts=rng.randrange(1, 4),
+        late_seconds=rng.uniform(*_DELAY_SECONDS),
     )
 
 
 @register('instance')
 async def fail_tasks(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let all that a worker starts fail for a while."""
+    """Make all tasks that a worker starts fail for a short time."""
     await site.set_faults(site.runners[name], fail=True)
-    await _sleep(drawn, _SHORT)
+    await _sleep(rng, _SHORT_SECONDS)
     await site.set_faults(site.runners[name])
 
 
 @register('store', SILENCES)
 async def hang_watch(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Leave the leader's watch without an answer; all else works."""
+    """Leave only the leader's watch without an answer."""
     await site.set_faults(site.store, hang_watch=record.INBOX)
-    await _sleep(drawn, _LONG)
+    await _sleep(rng, _LONG_SECONDS)
     await site.set_faults(site.store)
 
 
 @register('instance', SILENCES)
 async def silence_worker(
-    site: site_module.Site, drawn: random.Random, name: str
+    site: site_module.Site, rng: random.Random, name: str
 ) -> None:
-    """Let a worker's agent answer nothing, with orders on their way."""
+    """Silence a worker's agent while commands are in flight."""
     await site.set_faults(site.runners[name], silent=True)
-    await _sleep(drawn, _LONG)
+    await _sleep(rng, _LONG_SECONDS)
     await site.set_faults(site.runners[name])
 
 
-# Under a name of its own, which keeps its place in the order of drawing.
+# Registered under another name, which keeps its position in the draw order.
 SILENCES['lose_answers_of_one'] = ('process', cut_one_way)
 
 
-async def heal(site: site_module.Site) -> None:
-    """Undo whatever may be left."""
+async def clear_faults(site: site_module.Site) -> None:
+    """Undo all remaining faults."""
     for name in site.proxies:
         await _set_proxy(site, name, 'pass')
     await site.set_faults(site.store)
--- a/tools/soaking/site.py
+++ b/tools/soaking/site.py
@@ -6,26 +6,26 @@
 from standins import deployment
 from standins import platform_deployment
 
-# Short, so that a soak sees many takeovers; what a leader grants and a
-# successor waits for follows from it.
+# Short, so that a soak has many takeovers; the durations that a leader
+# grants and its successor waits are derived from it.
 LEASE_SECONDS = 2.5
 
 
 class Site(platform_deployment.Deployed):
-    """Entries and sidecars whose links to store and worker have proxies.
+    """Entries and sidecars with proxied links to the store or worker.
 
     Attributes
     ----------
     proxies : dict of str to str
-        Control addresses of the proxies, by whose link they are on.
+        Control addresses of the proxies, by process name.
     """
 
     def __init__(self, directory: pathlib.Path) -> None:
         super().__init__(directory)
         self.proxies: dict[str, str] = {}
-        self._version = 1
-        self._links: dict[str, str] = {}
-        self._controls: dict[str, str] = {}
+        self._configuration_version = 1
+        self._proxied_addresses: dict[str, str] = {}
+        self._control_addresses: dict[str, str] = {}
 
     async def start_all(self, entries: int, instances: int) -> None:
         """Start everything."""
@@ -35,53 +35,59 @@
             await self.add_instance(f'side-{number}')
 
     async def add_entry(self, name: str) -> None:
-        """Start an entry with a proxy before the store."""
+        """Start an entry with a proxied link to the store."""
         await self._add_proxy(name, self.store)
-        await self.start_entry(name, self._links[name])
+        await self.start_entry(name, self._proxied_addresses[name])
 
     async def add_instance(self, name: str) -> None:
-        """Start a worker's agent, and a sidecar with a proxy before it."""
+        """Start a worker's agent and a sidecar with a proxied link to it."""
         runner = await self.running.start_stand_in('runner', f'runner-{name}')
         self.runners[name] = runner
         await self._add_proxy(name, runner)
         process = await self.start_sidecar(name)
-        self._controls[name] = process.find('listening')[-1]['control']
+        self._control_addresses[name] = process.find('listening')[-1][
+            'control'
+        ]
 
     async def change_configuration(self) -> None:
-        """Write the next version, with one route more."""
-        self._version += 1
+        """Write the next version of the configuration with another route."""
+        self._configuration_version += 1
         route = platform_deployment.CONFIGURATION['routes'][0]
-        more = {**route, 'name': 'idle', 'prefix': f'/idle-{self._version}/'}
+        idle_route = {
+            **route,
+            'name': 'idle',
+            'prefix': f'/idle-{self._configuration_version}/',
+        }
         await self.operate(
             'op/config',
             {
                 **platform_deployment.CONFIGURATION,
-                'version': self._version,
-                'routes': [route, more],
+                'version': self._configuration_version,
+                'routes': [route, idle_route],
             },
         )
 
     async def restart(self, name: str) -> None:
-        """Start a process that has ended at the addresses that it had."""
+        """Restart an ended process with its previous addresses."""
         if name in self.entries:
-            await self.start_entry(name, self._links[name])
+            await self.start_entry(name, self._proxied_addresses[name])
         else:
-            await self.start_sidecar(name, self._controls[name])
+            await self.start_sidecar(name, self._control_addresses[name])
 
     def find_process(self, name: str) -> deployment.Process:
-        """Return the process that runs under a name."""
+        """Return the process with a name."""
         return self.running.processes[name]
 
     async def _add_proxy(self, name: str, target: str) -> None:
         address, control = await self.running.start_proxy(
             f'proxy-{name}', target
         )
-        self._links[name] = address
+        self._proxied_addresses[name] = address
         self.proxies[name] = control
 
     def _make_sections(self, name: str, **jobs: str) -> dict:
         sections: dict[str, t.Any] = super()._make_sections(name, **jobs)
         sections['jobs']['lease'] = LEASE_SECONDS
         if 'worker' in jobs:
-            sections['jobs']['worker'] = self._links[name]
+            sections['jobs']['worker'] = self._proxied_addresses[name]
         return sections
--- a/tools/soaking/trial.py
+++ b/tools/soaking/trial.py
@@ -1,4 +1,4 @@
-"""One seed of a soak: a site, its callers, faults, and the promises."""
+"""One seed of a soak: a site, callers, faults and checked guarantees."""
 
 import dataclasses
 import math
@@ -15,28 +15,28 @@
 from tools.soaking import faults
 from tools.soaking import site as site_module
 
-# A task that crashes its agents may need three starts more once nothing else
-# fails, and two may be on their way.
-_MOST_STARTS = 5
-# After the last fault everything has to end: a successor waits 8 s for
-# what a leader without the store may have allowed, and a lease.
-_END_SECONDS = 60.0
-_PAUSE = (0.1, 1.2)
-# No task of a job begins later than this after its cancel was acknowledged.
-_CANCEL_SECONDS = 3.0
-# Silences are rarer than the other faults: each of them lasts longer.
-_SILENCE_PAUSE = (1.0, 3.0)
+# A task that crashes its agents may need three more starts after the last
+# fault, and two may be in flight.
+_MAX_STARTS_AFTER_FAULTS = 5
+# Time for all jobs to end after the last fault. A successor waits 8 s for what
+# a leader disconnected from the store may have permitted, and for a lease.
+_DRAIN_SECONDS = 60.0
+_FAULT_INTERVAL_SECONDS = (0.1, 1.2)
+# No task of a job may start later than this after its acknowledged cancel.
+_MAX_START_DELAY_SECONDS = 3.0
+# Silences are injected less often than other faults as each lasts longer.
+_SILENCE_INTERVAL_SECONDS = (1.0, 3.0)
 _CRASH_EVENTS = {'worker-crashed', 'crash-counted', 'crash-at-once'}
-_LOOK_SECONDS = 0.2
+_POLL_SECONDS = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """How long and how large a trial is.
+    """Duration and size of a trial.
 
-    ``cancels`` adds callers that cancel what would end by itself, and faults
-    that keep a cancel from those who act on it; without it a seed plays what
-    it did before there were any.
+    ``cancels`` adds cancellations of jobs that would end by themselves, and
+    faults that delay a cancellation on its way to those who execute it;
+    without it a seed reproduces the faults and jobs of older recorded runs.
     """
 
     seed: int
@@ -48,34 +48,34 @@
 
 @dataclasses.dataclass
 class Report:
-    """What a trial came to.
+    """Outcome of a trial.
 
     Attributes
     ----------
     seed : int
-        Draws everything.
+        Seeds all random generators of the trial.
     jobs, starts, faults : int
-        How many there were.
-    broken : list of str
-        Promises that did not hold, each with its subject.
+        Number of each.
+    violations : list of str
+        Violated guarantees, each with the job or task concerned.
     evidence : list of str
-        Log lines that tell how that came.
+        Log lines that explain the violations.
     """
 
     seed: int
     jobs: int = 0
     starts: int = 0
     faults: int = 0
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
     evidence: list[str] = dataclasses.field(default_factory=list)
 
 
 class Trial:
-    """Runs one plan in a directory, which keeps logs and settings."""
+    """Runs one plan in a directory, which holds logs and settings."""
 
     def __init__(self, plan: Plan, directory: pathlib.Path) -> None:
         self._plan = plan
-        self._random = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         self._site = site_module.Site(directory)
         self._directory = directory
         self._callers = callers_module.Callers(
@@ -84,128 +84,145 @@
             random.Random(plan.seed + 3) if plan.cancels else None,
         )
         self._report = Report(plan.seed)
-        self._story: list[str] = []
-        self._healed_at = math.inf
+        self._schedule: list[str] = []
+        self._faults_cleared_at = math.inf
 
     async def run(self) -> Report:
-        """Play the trial and check its promises."""
+        """Run the trial and check the guarantees."""
         async with self._site as site:
             await site.start_all(self._plan.entries, self._plan.instances)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._callers.run)
                 await self._inject_all()
-                self._callers.open = False
-                await self._wait_ends()
+                self._callers.submitting = False
+                await self._wait_jobs_end()
                 group.cancel_scope.cancel()
             await self._check()
-        story = self._directory / 'faults.txt'
-        story.write_text('\n'.join(self._story) + '\n', encoding='utf-8')
+        schedule_file = self._directory / 'faults.txt'
+        schedule_file.write_text(
+            '\n'.join(self._schedule) + '\n', encoding='utf-8'
+        )
         return self._report
 
     async def _inject_all(self) -> None:
-        """Bring faults about in two series; they overlap by their lengths."""
+        """Inject two series of faults, which overlap by their durations."""
         busy: set[str] = set()
-        silences = random.Random(self._plan.seed + 2)
+        silence_rng = random.Random(self._plan.seed + 2)
         async with anyio.create_task_group() as group:
             group.start_soon(
-                self._inject, faults.FAULTS, _PAUSE, self._random, busy
+                self._inject,
+                faults.FAULTS,
+                _FAULT_INTERVAL_SECONDS,
+                self._rng,
+                busy,
             )
             if self._plan.cancels:
                 group.start_soon(
                     self._inject,
                     faults.SILENCES,
-                    _SILENCE_PAUSE,
-                    silences,
+                    _SILENCE_INTERVAL_SECONDS,
+                    silence_rng,
                     busy,
                 )
-        await faults.heal(self._site)
-        self._healed_at = time.time()
+        await faults.clear_faults(self._site)
+        self._faults_cleared_at = time.time()
 
     async def _inject(
         self,
         series: t.Mapping[str, t.Any],
-        pause: tuple[float, float],
-        drawn: random.Random,
+        interval: tuple[float, float],
+        rng: random.Random,
         busy: set[str],
     ) -> None:
-        begun = anyio.current_time()
+        started_at = anyio.current_time()
         async with anyio.create_task_group() as group:
-            while anyio.current_time() - begun < self._plan.seconds:
-                await anyio.sleep(drawn.uniform(*pause))
-                name, target, fault = faults.draw(self._site, drawn, series)
+            while anyio.current_time() - started_at < self._plan.seconds:
+                await anyio.sleep(rng.uniform(*interval))
+                name, target, fault = faults.draw(self._site, rng, series)
                 if target in busy:
                     continue
-                at = anyio.current_time() - begun
-                self._story.append(f'{at:.2f} {name} {target}')
+                at = anyio.current_time() - started_at
+                self._schedule.append(f'{at:.2f} {name} {target}')
                 self._report.faults += 1
                 busy.add(target)
-                own = random.Random(drawn.random())
-                group.start_soon(self._bring_about, fault, target, busy, own)
+                fault_rng = random.Random(rng.random())
+                group.start_soon(
+                    self._run_fault, fault, target, busy, fault_rng
+                )
 
-    async def _bring_about(
+    async def _run_fault(
         self,
         fault: faults.Fault,
         target: str,
         busy: set[str],
-        drawn: random.Random,
+        rng: random.Random,
     ) -> None:
         try:
-            await fault(self._site, drawn, target)
+            await fault(self._site, rng, target)
         finally:
             busy.discard(target)
 
-    async def _wait_ends(self) -> None:
-        until = anyio.current_time() + _END_SECONDS
-        while anyio.current_time() < until:
-            if all(call.settled for call in self._callers.calls):
+    async def _wait_jobs_end(self) -> None:
+        deadline = anyio.current_time() + _DRAIN_SECONDS
+        while anyio.current_time() < deadline:
+            if all(job.settled for job in self._callers.jobs):
                 return
-            await anyio.sleep(_LOOK_SECONDS)
+            await anyio.sleep(_POLL_SECONDS)
 
     async def _check(self) -> None:
         starts = await self._site.list_starts()
         report = self._report
-        report.jobs = len(self._callers.calls)
+        report.jobs = len(self._callers.jobs)
         report.starts = len(starts)
         for task in platform_deployment.find_overlaps(starts, kept=True):
-            report.broken.append(f'{task}: ran twice')
+            report.violations.append(f'{task}: duplicate run')
         started = {start['task'].partition('.')[0] for start in starts}
-        for call in self._callers.calls:
-            report.broken += [f'{call.id}: {text}' for text in call.broken]
-            if not call.settled:
-                report.broken.append(f'{call.id}: no end, {call.states}')
-            report.broken += self._check_crashing(call, starts)
-            report.broken += _check_cancelled(call, starts)
-            refused = not call.accepted and not call.unknown
-            if refused and call.id in started:
-                report.broken.append(f'{call.id}: refused, and ran')
-        crashing = {call.id for call in self._callers.calls if call.crashes}
-        for id in self._list_given_up() - crashing:
-            report.broken.append(f'{id}: given up, and crashed nothing')
+        for job in self._callers.jobs:
+            report.violations += [
+                f'{job.id}: {text}' for text in job.violations
+            ]
+            if not job.settled:
+                report.violations.append(
+                    f'{job.id}: did not end, states: {job.states}'
+                )
+            report.violations += self._check_crashing(job, starts)
+            report.violations += _check_cancelled(job, starts)
+            refused = not job.accepted and not job.unknown
+            if refused and job.id in started:
+                report.violations.append(f'{job.id}: ran although refused')
+        crashing_jobs = {
+            job.id for job in self._callers.jobs if job.crashes_agent
+        }
+        for id in self._list_abandoned() - crashing_jobs:
+            report.violations.append(f'{id}: abandoned, but crashed no agent')
             report.evidence += self._list_crash_lines(id)
 
     def _check_crashing(
-        self, call: callers_module.Call, starts: list[dict[str, t.Any]]
+        self, job: callers_module.Job, starts: list[dict[str, t.Any]]
     ) -> list[str]:
-        """Tell what should not have become of a job that crashes agents."""
-        if not call.crashes:
+        """Return the violations by a job that crashes agents."""
+        if not job.crashes_agent:
             return []
-        name = f'{call.id}.0.0.0'
-        found = []
-        late = [
+        name = f'{job.id}.0.0.0'
+        violations = []
+        late_starts = [
             start
             for start in starts
-            if start['task'] == name and start['began'] > self._healed_at
+            if start['task'] == name
+            and start['began'] > self._faults_cleared_at
         ]
-        if len(late) > _MOST_STARTS:
-            found.append(
-                f'{name}: started {len(late)} times when all was well'
+        if len(late_starts) > _MAX_STARTS_AFTER_FAULTS:
+            violations.append(
+                f'{name}: {len(late_starts)} starts after the last fault'
+            )
+        if job.states[-1:] == ['complete']:
+            violations.append(
+                f'{job.id}: complete although its task crashes agents'
             )
-        if call.states[-1:] == ['complete']:
-            found.append(f'{call.id}: complete, and its task never ended')
-        return found
+        return violations
 
-    def _list_given_up(self) -> set[str]:
-        """Return the jobs that a leader gave up for their crashes."""
+    def _list_abandoned(self) -> set[str]:
+        """Return the jobs that a leader abandoned for their crashes."""
         return {
             event.get('job')
             for event, _ in self._read_events()
@@ -213,7 +230,7 @@
         }
 
     def _list_crash_lines(self, id: str) -> list[str]:
-        """Return what was counted for a job's tasks, and who was there."""
+        """Return the log lines about crashes that name a job's tasks."""
         return [
             line
             for event, line in self._read_events()
@@ -229,18 +246,20 @@
 
 
 def _check_cancelled(
-    call: callers_module.Call, starts: list[dict[str, t.Any]]
+    job: callers_module.Job, starts: list[dict[str, t.Any]]
 ) -> list[str]:
-    """Tell what should not have become of a cancelled job."""
-    if not call.cancelled_at:
+    """Return the violations by a cancelled job."""
+    if not job.cancelled_at:
         return []
-    found = []
+    violations = []
     for start in starts:
-        if start['task'].partition('.')[0] != call.id:
+        if start['task'].partition('.')[0] != job.id:
             continue
-        late = start['began'] - call.cancelled_at
-        if late > _CANCEL_SECONDS:
-            found.append(f'{start["task"]}: began {late:.2f} s after a cancel')
+        delay = start['began'] - job.cancelled_at
+        if delay > _MAX_START_DELAY_SECONDS:
+            violations.append(
+                f'{start["task"]}: began {delay:.2f} s after a cancel'
+            )
         if not start['ended']:
-            found.append(f'{start["task"]}: runs on after a cancel')
-    return found
+            violations.append(f'{start["task"]}: runs on after a cancel')
+    return violations
