--- a/tests/test_stateful.py
+++ b/tests/test_stateful.py
@@ -1,8 +1,8 @@
-"""Stateful fuzzing of the whole system against a simple invariants.
+"""Stateful fuzzing of the whole system against simple invariants.
 
-The rules bring about load, operators' edits and every fault of the
-brief, in any order and together. ``make fuzz`` runs it for long with
-fresh seeds.
+The rules produce load, operators' edits and all required kinds of
+fault, in any order and overlapping. ``make fuzz`` runs many examples
+with new seeds.
 """
 
 import os
@@ -25,7 +25,7 @@
     if os.environ.get('PERSIMMONSAIL_FUZZ_SHRINK')
     else (hypothesis.Phase.explicit, hypothesis.Phase.generate)
 )
-# A process that was told to stop ends within its drain time.
+# Covers the drain time, within which a stopping process exits.
 STOP_SECONDS = 20.0
 SETTLE_SECONDS = 90.0
 CORES = 64.0
@@ -51,7 +51,7 @@
     'store',
 )
 PEERS = st.sampled_from(PEER_NAMES)
-# Around and past the leases of the fleet, which are 3 s.
+# Shorter and longer than the leases of the fleet, which are 3 s.
 PAUSES = st.sampled_from([1.0, 4.0, 8.0])
 
 
@@ -346,14 +346,14 @@
 
 
 class FoundTest(base.TestCase):
-    """What the machine found, as tests of their own."""
+    """Failures that the state machine found, as regression tests."""
 
-    def test_old_call_does_not_move_a_watcher_a_second_time(self):
-        """A watcher runs twice.
+    def test_stale_renewal_does_not_move_a_watcher_again(self):
+        """Guards against running a watcher on two instances.
 
-        Its instance is cut off; its lease is over, and it starts on
+        Its instance is isolated, its lease expires, and it starts on
         another one. A renewal sent to the first instance before that
-        ends only now, and gave up all tasks of its own old list.
+        fails only now; it must not abandon the tasks of its stale list.
         """
         machine = SystemMachine()
         self.addCleanup(machine.world.__exit__)
