--- a/tests/test_binds.py
+++ b/tests/test_binds.py
@@ -22,7 +22,7 @@
         day.read(LINES.splitlines())
         found = binds.account(day, 'q')
         self.assertEqual(1, found.jobs)
-        self.assertAlmostEqual(1.0, found.first_placement_seconds)
+        self.assertAlmostEqual(1.0, found.first_seconds)
         self.assertAlmostEqual(6.5, found.span)
         self.assertAlmostEqual(2.0, found.worked)
         self.assertAlmostEqual(1.0, found.held)
@@ -36,5 +36,5 @@
         found = binds.account(day, 'q')
         self.assertEqual(
             (1, 0.0, 0.0),
-            (found.jobs, found.first_placement_seconds, found.span),
+            (found.jobs, found.first_seconds, found.span),
         )
--- a/tools/binds.py
+++ b/tools/binds.py
@@ -177,7 +177,7 @@
     ----------
     jobs : int
         How many were accepted.
-    first_placement_seconds : float
+    first_seconds : float
         From acceptance to the first placement; 95 of 100 took less.
     span : float
         From acceptance to the end; the mean of completed jobs.
@@ -189,7 +189,7 @@
     """
 
     jobs: int
-    first_placement_seconds: float
+    first_seconds: float
     span: float
     worked: float
     held: float
@@ -215,9 +215,7 @@
     others = [run for run in ended if run.how != 'done']
     return Account(
         jobs=len(jobs),
-        first_placement_seconds=delays[int(0.95 * len(delays))]
-        if delays
-        else 0.0,
+        first_seconds=delays[int(0.95 * len(delays))] if delays else 0.0,
         span=statistics.mean(spans) if spans else 0.0,
         worked=sum(run.ended_at - run.placed_at for run in done),
         held=sum(run.throttled_seconds for run in done),
@@ -254,7 +252,7 @@
     for queue in sorted({job.queue for job in day.jobs.values()}):
         total = account(day, queue)
         print(
-            f'{queue}: jobs={total.jobs} first_p95={total.first_placement_seconds:.2f}s'
+            f'{queue}: jobs={total.jobs} first_p95={total.first_seconds:.2f}s'
             f' span={total.span:.1f}s worked={total.worked:.0f}s'
             f' held={total.held:.0f}s lost={total.lost:.0f}s'
             f' ends={total.end_counts}'
