--- a/src/persimmonsail/jobs/interference.py
+++ b/src/persimmonsail/jobs/interference.py
@@ -6,7 +6,7 @@
 fullness: its load plus, for each colocated best-effort image, a coefficient
 times the share of the instance's processors that the image uses. Load varies
 within seconds, but alike for all tasks of one step. What differs between two
-instances at the same time is the interference, and coefficients are learnt
+instances at the same time is the interference, and coefficients are learned
 from these differences.
 
 Load pattern: deployments differ in how many pairs of images interfere and how
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LearnedState:
-    """What was learnt about one serving image.
+    """What was learned about one serving image.
 
     Attributes
     ----------
@@ -242,14 +242,14 @@
         )
 
     def export(self) -> dict[str, LearnedState]:
-        """Return what was learnt about each image, for a later leader."""
+        """Return what was learned about each image, for a later leader."""
         return {
             image: LearnedState(fit.export())
             for image, fit in self._fits.items()
         }
 
     def restore(self, learned: t.Mapping[str, LearnedState]) -> None:
-        """Start from what an earlier leader has learnt.
+        """Start from what an earlier leader has learned.
 
         Raises
         ------
--- a/src/persimmonsail/jobs/learnedstate.py
+++ b/src/persimmonsail/jobs/learnedstate.py
@@ -1,4 +1,4 @@
-"""Persists what a leader has learnt for its successor.
+"""Persists what a leader has learned for its successor.
 
 Without it a new leader learns again which images interfere: meanwhile serving
 tasks miss their targets and heavy jobs wait. No guarantee depends on this
@@ -30,7 +30,7 @@
 async def load(
     store: store_module.TransactionalStore, model: interference.Model
 ) -> None:
-    """Restore what an earlier leader has learnt, if it can be read."""
+    """Restore what an earlier leader has learned, if it can be read."""
     try:
         item = await store.get(record.LEARNED_STATE)
     except exceptions.StoreUnavailable as error:
@@ -54,7 +54,7 @@
     model: interference.Model,
     period_seconds: float = _SAVE_PERIOD_SECONDS,
 ) -> None:
-    """Save what was learnt periodically, until cancelled."""
+    """Save what was learned periodically, until cancelled."""
     saved = ''
     while True:
         await anyio.sleep(period_seconds)
@@ -64,7 +64,7 @@
 async def save_last(
     store: store_module.TransactionalStore, model: interference.Model
 ) -> None:
-    """Save what was learnt since the last save, if the store is quick.
+    """Save what was learned since the last save, if the store is quick.
 
     Without it a leader that is stopped within its first save period would hand
     over nothing. Waiting for a slow store would delay the next leader.
@@ -80,7 +80,7 @@
     model: interference.Model,
     saved: str,
 ) -> str:
-    """Write what was learnt if it has changed; return the state written."""
+    """Write what was learned if it has changed; return the state written."""
     text = _LEARNED.dump_json(model.export()).decode()
     if text == saved:
         return saved
--- a/tests/jobs/test_interference.py
+++ b/tests/jobs/test_interference.py
@@ -113,7 +113,7 @@
     def test_a_missed_target_stops_what_presses_in_time(self):
         """A serving task misses its target for 4 s beside a best-effort task.
 
-        Nothing was learnt about the pair yet, so the best-effort task's speed
+        Nothing was learned about the pair yet, so the best-effort task's speed
         limit was estimated to be harmless.
         """
         model = interference.Model()
--- a/tests/jobs/test_learnedstate.py
+++ b/tests/jobs/test_learnedstate.py
@@ -58,7 +58,7 @@
         """Entries restart one after another, and targets are missed.
 
         Each entry led for less than its save period, so none handed over what
-        it had learnt.
+        it had learned.
         """
         await learnedstate.save_last(self.store, self.learn())
         item = await self.store.get(record.LEARNED_STATE)
--- a/tests/jobs/test_regression.py
+++ b/tests/jobs/test_regression.py
@@ -50,7 +50,7 @@
     def test_what_was_not_seen_for_long_is_still_known(self):
         """An image interferes that is known to have interfered a minute ago.
 
-        What was learnt about the pair had drifted to the middle while other
+        What was learned about the pair had drifted to the middle while other
         images ran there.
         """
         coefficients = {'loud': 1.6, 'other': 0.1}
