--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what the platform and the users bring.
+"""Stand-ins for the services of the platform and its users.
 
-They serve tests and the demo only and are not part of the package.
+Used by tests and the demo only; not part of the package.
 """
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,13 +1,12 @@
 """Backend server stand-in: ``python -m standins.backend``.
 
-Answers ``POST /work`` with the request's own number and body. It has 8
-slots; work beyond them waits. It has 64 connections; a request beyond
-them is refused with 503 and does not run. ``GET /record`` returns all
-requests that ran, in order. A request's JSON may name ``seconds`` that
-it takes,
-``truncate`` for an answer cut off in its middle, and ``padding``, bytes
-that are added to the answer. ``POST /leave`` makes it leave: its
-``/health`` then answers 503; ``POST /return`` brings it back.
+Answers ``POST /work`` with the id and the body of the request. Requests
+beyond 8 slots wait; requests beyond 64 connections are refused with 503
+and do not run. ``GET /record`` returns all requests that ran, in order.
+The JSON body of a request may set ``seconds``, its duration,
+``truncate``, to cut the response off in the middle, and ``padding``, a
+number of bytes to add to the response. After ``POST /leave``,
+``/health`` answers 503 until ``POST /return``.
 """
 
 import json
@@ -22,18 +21,18 @@
 from standins import serving
 
 SLOTS = 8
-CONNECTIONS = 64
+MAX_CONNECTIONS = 64
 
 
 class BackendServer:
-    """Serves the work interface of a runner."""
+    """Serves the work interface of a backend server."""
 
     def __init__(self, slots: int = SLOTS) -> None:
         self._slots = slots
-        self._limiter: anyio.Semaphore | None = None
+        self._slot_semaphore: anyio.Semaphore | None = None
         self._record: list[dict] = []
         self._leaving = False
-        self._open = 0
+        self._open_requests = 0
         self.app = applications.Starlette(
             routes=[
                 routing.Route('/work', self._work, methods=['POST']),
@@ -45,31 +44,35 @@
         )
 
     async def _work(self, request: requests.Request):
-        if self._open >= CONNECTIONS:
+        if self._open_requests >= MAX_CONNECTIONS:
             return responses.PlainTextResponse('too many connections', 503)
-        self._open += 1
+        self._open_requests += 1
         try:
-            return await self._run(request)
+            return await self._execute(request)
         finally:
-            self._open -= 1
+            self._open_requests -= 1
 
-    async def _run(self, request: requests.Request):
+    async def _execute(self, request: requests.Request):
         body = await request.body()
-        wanted = json.loads(body or b'{}')
-        number = request.headers.get('request-id', '')
-        if self._limiter is None:
-            self._limiter = anyio.Semaphore(self._slots)
-        async with self._limiter:
-            run = {'request': number, 'body': wanted, 'ended': False}
-            self._record.append(run)
-            logs.write_event('work', request=number)
-            await anyio.sleep(wanted.get('seconds', 0))
-            run['ended'] = True
-        answer = {'request': number, 'echo': wanted}
-        if 'padding' in wanted:
-            answer['padding'] = 'x' * wanted['padding']
-        response = responses.JSONResponse(answer)
-        if wanted.get('truncate'):
+        options = json.loads(body or b'{}')
+        request_id = request.headers.get('request-id', '')
+        if self._slot_semaphore is None:
+            self._slot_semaphore = anyio.Semaphore(self._slots)
+        async with self._slot_semaphore:
+            execution = {
+                'request': request_id,
+                'body': options,
+                'ended': False,
+            }
+            self._record.append(execution)
+            logs.write_event('work', request=request_id)
+            await anyio.sleep(options.get('seconds', 0))
+            execution['ended'] = True
+        content = {'request': request_id, 'echo': options}
+        if 'padding' in options:
+            content['padding'] = 'x' * options['padding']
+        response = responses.JSONResponse(content)
+        if options.get('truncate'):
             response.headers['content-length'] = str(len(response.body) + 100)
         return response
 
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,7 +1,7 @@
 """Starts the system and its stand-ins as processes on loopback.
 
-Each process logs to a file of its own below a directory; the addresses
-that a process picked are read from its ``listening`` line.
+Each process has a log file in a common directory; the addresses that a
+process listens on are read from its ``listening`` event.
 """
 
 import contextlib
@@ -21,20 +21,20 @@
 
 START_SECONDS = 30.0
 STOP_SECONDS = 30.0
-# Servers close a kept connection that was idle for 5 s; a call that leaves
-# at that moment ends without an answer, so the client closes it before.
+# Servers close connections that were idle for 5 s. A request sent at the
+# same time gets no response, so the client closes idle connections earlier.
 _LIMITS = httpx.Limits(
     max_connections=100, max_keepalive_connections=20, keepalive_expiry=2.0
 )
 
 
 class ProcessEnded(Exception):
-    """A process ended before the awaited event."""
+    """A process ended before it logged the expected event."""
 
 
 @dataclasses.dataclass
 class Process:
-    """One running process, and the events that it has logged."""
+    """A process and the events that it has logged."""
 
     name: str
     handle: anyio.abc.Process
@@ -45,16 +45,16 @@
 
     @property
     def pid(self) -> int:
-        """The operating system's number."""
+        """The process id."""
         return self.handle.pid
 
     def find(self, event: str, **fields: str) -> list[dict[str, str]]:
-        """Return the logged events of one kind with these fields."""
+        """Return the logged events of this name with these fields."""
         return [
-            found
-            for found in self.events
-            if found.get('event') == event
-            and all(found.get(k) == v for k, v in fields.items())
+            logged
+            for logged in self.events
+            if logged.get('event') == event
+            and all(logged.get(k) == v for k, v in fields.items())
         ]
 
     async def wait_event(
@@ -64,24 +64,24 @@
         seconds: float = START_SECONDS,
         **fields: str,
     ) -> dict[str, str]:
-        """Wait until an event was logged ``count`` times.
+        """Return the ``count``-th such event, once it is logged.
 
         Raises
         ------
         ProcessEnded
             If the process ended first.
         TimeoutError
-            If it did not come within ``seconds``.
+            If that does not happen within ``seconds``.
         """
         with anyio.fail_after(seconds):
-            while len(found := self.find(event, **fields)) < count:
+            while len(logged := self.find(event, **fields)) < count:
                 if self.ended:
                     raise ProcessEnded(f'{self.name} ended; see {self.log}')
                 await self.changed.wait()
-        return found[count - 1]
+        return logged[count - 1]
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process."""
         self.handle.send_signal(number)
 
     async def stop(self, number: int = signal.SIGTERM) -> int:
@@ -93,14 +93,14 @@
 
 
 class Deployment:
-    """Owns processes; use inside ``async with``.
+    """Runs processes and kills them on exit; use with ``async with``.
 
     Parameters
     ----------
     directory : pathlib.Path
-        Where settings and logs go.
+        Directory of the settings and logs.
     program : sequence of str, optional
-        How the shipped program is run.
+        Command line that runs the program.
     """
 
     def __init__(
@@ -113,16 +113,16 @@
         self.store = ''
         self._stand_ins: set[str] = set()
         self._program = list(program)
-        self._owned = contextlib.AsyncExitStack()
+        self._exit_stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> 'Deployment':
         self.directory.mkdir(parents=True, exist_ok=True)
-        self._group = await self._owned.enter_async_context(
+        self._group = await self._exit_stack.enter_async_context(
             anyio.create_task_group()
         )
-        # A test that stands still itself reads, and does, things too late.
+        # Logs stalls of the test's own event loop, which delay its actions.
         self._group.start_soon(looplag.monitor)
-        self.client = await self._owned.enter_async_context(
+        self.client = await self._exit_stack.enter_async_context(
             httpx.AsyncClient(timeout=60, trust_env=False, limits=_LIMITS)
         )
         return self
@@ -134,22 +134,22 @@
                     process.handle.kill()
                     await process.handle.wait()
         self._group.cancel_scope.cancel()
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     @property
     def log_files(self) -> list[pathlib.Path]:
-        """The logs of all processes that ever ran."""
+        """The logs of all processes started so far."""
         return sorted(self.directory.glob('*.log'))
 
     @property
     def evidence_files(self) -> list[pathlib.Path]:
-        """The logs of the system's own processes, stand-ins left out."""
+        """The logs of the system's own processes, without stand-ins."""
         return [
             path for path in self.log_files if path.stem not in self._stand_ins
         ]
 
     async def start(self, name: str, command: t.Sequence[str]) -> Process:
-        """Start a process whose log carries on an earlier one's file."""
+        """Start a process; it appends to the log of an earlier one."""
         log = self.directory / f'{name}.log'
         handle = await anyio.open_process(
             list(command), stdout=subprocess.PIPE, stderr=subprocess.STDOUT
@@ -181,15 +181,15 @@
         return self.store
 
     async def start_proxy(self, name: str, target: str) -> tuple[str, str]:
-        """Start a proxy; return its address and its control address."""
+        """Start a proxy and return its address and control address."""
         control = await self.start_stand_in('proxy', name, '--target', target)
-        found = await self.processes[name].wait_event('proxying')
-        return found['address'], control
+        event = await self.processes[name].wait_event('proxying')
+        return event['address'], control
 
     async def start_role(
         self, role: str, name: str, sections: dict[str, dict[str, object]]
     ) -> Process:
-        """Start a role of the shipped program with these settings."""
+        """Start a role of the program with these settings."""
         path = self.directory / f'{name}.ini'
         path.write_text(_format_ini(sections), encoding='utf-8')
         process = await self.start(name, [*self._program, role, str(path)])
@@ -204,7 +204,7 @@
         process: dict[str, object] | None = None,
         entry: dict[str, object] | None = None,
     ) -> Process:
-        """Start an entry; further options go to its sections."""
+        """Start an entry; ``process`` and ``entry`` add options."""
         region = zone.rpartition('-')[0] or zone
         return await self.start_role(
             'entry',
@@ -232,7 +232,7 @@
         process: dict[str, object] | None = None,
         sidecar: dict[str, object] | None = None,
     ) -> Process:
-        """Start a sidecar; further options go to its sections."""
+        """Start a sidecar; ``process`` and ``sidecar`` add options."""
         region = zone.rpartition('-')[0] or zone
         return await self.start_role(
             'sidecar',
@@ -255,17 +255,21 @@
         )
 
     async def start_instance(
-        self, name: str, entries: t.Sequence[str], service: str, **more: t.Any
+        self,
+        name: str,
+        entries: t.Sequence[str],
+        service: str,
+        **options: t.Any,
     ) -> Process:
         """Start a worker, a backend server and their sidecar."""
         worker = await self.start_stand_in('worker', f'worker-{name}')
         backend = await self.start_stand_in('backend', f'backend-{name}')
         return await self.start_sidecar(
-            name, entries, worker, backend, service, **more
+            name, entries, worker, backend, service, **options
         )
 
     async def run_command(self, *arguments: str) -> tuple[int, str]:
-        """Run a command of the shipped program to its end."""
+        """Run a command of the program; return its exit code and output."""
         result = await anyio.run_process(
             [*self._program, *arguments],
             check=False,
@@ -274,7 +278,7 @@
         return result.returncode, result.stdout.decode()
 
     async def apply_catalogue(self, text: str) -> tuple[int, str]:
-        """Put a catalogue in force with the operators' command."""
+        """Apply a catalogue with the operators' command."""
         path = self.directory / 'catalogue.ini'
         path.write_text(text, encoding='utf-8')
         base = [] if text.startswith('; revision') else ['--base', 'head']
@@ -287,25 +291,25 @@
 
     async def set_faults(self, address: str, **faults: object) -> None:
         """Set the faults of a stand-in or a proxy."""
-        answer = await self.client.post(
+        response = await self.client.post(
             f'http://{address}/faults', json=faults
         )
-        answer.raise_for_status()
+        response.raise_for_status()
 
     async def _read_log(self, process: Process) -> None:
-        rest = b''
+        remainder = b''
         with process.log.open('ab') as log:
             async for chunk in process.handle.stdout:
                 log.write(chunk)
                 log.flush()
-                *lines, rest = (rest + chunk).split(b'\n')
+                *lines, remainder = (remainder + chunk).split(b'\n')
                 for line in lines:
-                    _note_line(process, line.decode())
+                    _record_line(process, line.decode())
         process.ended = True
         process.changed.set()
 
 
-def _note_line(process: Process, line: str) -> None:
+def _record_line(process: Process, line: str) -> None:
     try:
         process.events.append(logs.parse_line(line))
     except logs.LogSyntaxError:
--- a/standins/platform_deployment.py
+++ b/standins/platform_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on the platform's wire, as processes on loopback."""
+"""A deployment with the platform's protocol, as processes on loopback."""
 
 import contextlib
 import json
@@ -31,15 +31,15 @@
 }
 
 
-_AGAIN = (
+_RETRIED_STATUSES = (
     httpx.codes.SERVICE_UNAVAILABLE,
     httpx.codes.GATEWAY_TIMEOUT,
 )
-_AGAIN_SECONDS = 0.2
+_RETRY_SECONDS = 0.2
 
 
 def make_body(*counts: int, payload: str = '50', **fields: t.Any) -> dict:
-    """Return a submission with one phase after the other."""
+    """Return a submission whose phases run one after the other."""
     phases = []
     for i, count in enumerate(counts):
         phase = {'count': count, 'cpu': 500, 'memMb': 100, 'estimateMs': 50}
@@ -50,25 +50,25 @@
 
 
 class Deployed:
-    """Store, entries and instances; use inside ``async with``."""
+    """A store, entries and instances; use with ``async with``."""
 
     def __init__(
         self, directory: pathlib.Path, program: list[str] | None = None
     ) -> None:
-        more = [program] if program else []
-        self.running = deployment.Deployment(directory, *more)
+        arguments = [program] if program else []
+        self.running = deployment.Deployment(directory, *arguments)
         self.entries: dict[str, str] = {}
-        # The same entries' addresses of the product's own interface.
+        # Addresses of the product's own API on the same entries.
         self.apis: dict[str, str] = {}
         self.runners: dict[str, str] = {}
         self.store = ''
         self.advisor = ''
-        # How long leases last; the roles' own default if it is not set.
+        # Duration of leases; None leaves the default of each role.
         self.lease_seconds: float | None = None
 
     async def __aenter__(self) -> 'Deployed':
-        self._owned = contextlib.AsyncExitStack()
-        await self._owned.enter_async_context(self.running)
+        self._exit_stack = contextlib.AsyncExitStack()
+        await self._exit_stack.enter_async_context(self.running)
         self.store = await self.running.start_stand_in(
             'platform_store', 'store'
         )
@@ -76,38 +76,39 @@
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
-        return await self._owned.__aexit__(*exc_info)
+        return await self._exit_stack.__aexit__(*exc_info)
 
     async def operate(self, key: str, value: t.Any) -> None:
-        """Write a key as an operator does."""
+        """Write a key as an operator would."""
         await self._post(f'{self.store}/operator', key=key, value=value)
 
     async def set_faults(
         self, address: str, **faults: t.Any
     ) -> dict[str, t.Any]:
-        """Set the faults of a stand-in; return what it says of itself."""
+        """Set the faults of a stand-in; return its response."""
         return await self._post(f'{address}/faults', **faults)
 
     async def start_advisor(self) -> None:
-        """Start an advisor, and have the queue need it."""
+        """Start an advisor and configure the queue to require it."""
         self.advisor = await self.running.start_stand_in('advisor', 'advisor')
         (route,) = CONFIGURATION['routes']
-        advised = {
+        route_with_advisor = {
             **route,
             'advisor': {'decideMs': 5, 'periodMs': 1, 'validMs': 3000},
         }
         await self.operate(
-            'op/config', {**CONFIGURATION, 'version': 2, 'routes': [advised]}
+            'op/config',
+            {**CONFIGURATION, 'version': 2, 'routes': [route_with_advisor]},
         )
 
     async def set_policy(self, **policy: t.Any) -> None:
-        """Set which boots the advisor approves."""
+        """Set the policy of the advisor."""
         await self._post(f'{self.advisor}/policy', **policy)
 
     async def start_entry(
         self, name: str, store: str = ''
     ) -> deployment.Process:
-        """Start an entry and wait until it serves."""
+        """Start an entry and wait until it has a configuration."""
         sections = self._make_sections(
             name,
             readiness='127.0.0.1:0',
@@ -132,7 +133,7 @@
     async def start_sidecar(
         self, name: str, control: str = '127.0.0.1:0'
     ) -> deployment.Process:
-        """Start a sidecar for a worker's agent that is there."""
+        """Start a sidecar for a running worker's agent."""
         sections = self._make_sections(
             name,
             worker=self.runners[name],
@@ -147,7 +148,7 @@
     async def call(
         self, entry: str, method: str, id: str = '', body: t.Any = None
     ):
-        """Make one call as a caller does."""
+        """Send one request as a caller would."""
         return await self.running.client.request(
             method,
             f'http://{self.entries[entry]}{PREFIX}{id}',
@@ -160,54 +161,54 @@
     ) -> int:
         """Submit a job until the answer is final; return its status.
 
-        A caller that is told that it was not accepted, or that this is not
-        known, sends the same name again.
+        As callers do, submits the same id again if the job was not accepted
+        or the outcome is unknown.
         """
         with anyio.fail_after(seconds):
             while True:
-                answer = await self.call(entry, 'POST', id, body)
-                if answer.status_code not in _AGAIN:
-                    return answer.status_code
-                await anyio.sleep(_AGAIN_SECONDS)
+                response = await self.call(entry, 'POST', id, body)
+                if response.status_code not in _RETRIED_STATUSES:
+                    return response.status_code
+                await anyio.sleep(_RETRY_SECONDS)
 
     async def read(
         self, entry: str, id: str, seconds: float = 20.0
     ) -> httpx.Response:
-        """Ask for a job; again where the answer is to come back later."""
+        """Read a job; after a 503, retry as ``Retry-After`` says."""
         with anyio.fail_after(seconds):
             while True:
-                answer = await self.call(entry, 'GET', id)
-                if answer.status_code != httpx.codes.SERVICE_UNAVAILABLE:
-                    return answer
-                await anyio.sleep(float(answer.headers['retry-after']))
+                response = await self.call(entry, 'GET', id)
+                if response.status_code != httpx.codes.SERVICE_UNAVAILABLE:
+                    return response
+                await anyio.sleep(float(response.headers['retry-after']))
 
     async def wait_state(
         self, entry: str, id: str, state: str, seconds: float = 20.0
     ) -> None:
-        """Ask for a job's state until it is this one."""
+        """Poll a job until it is in this state."""
         with anyio.fail_after(seconds):
             while True:
-                answer = await self.call(entry, 'GET', id)
-                if answer.json().get('state') == state:
+                response = await self.call(entry, 'GET', id)
+                if response.json().get('state') == state:
                     return
                 await anyio.sleep(0.05)
 
     async def list_starts(self) -> list[dict[str, t.Any]]:
-        """Return every start that any worker's agent carried out."""
+        """Return every start that any worker's agent executed."""
         starts = []
         for runner in self.runners.values():
-            answer = await self.running.client.get(f'http://{runner}/starts')
-            starts += answer.json()
+            response = await self.running.client.get(f'http://{runner}/starts')
+            starts += response.json()
         return sorted(starts, key=lambda start: start['began'])
 
     async def wait_starts(self, count: int, seconds: float = 20.0) -> None:
-        """Wait until so many starts were carried out."""
+        """Wait until ``count`` starts were executed."""
         with anyio.fail_after(seconds):
             while len(await self.list_starts()) < count:  # noqa: ASYNC110
                 await anyio.sleep(0.05)
 
     def find_leader(self) -> str:
-        """Return the entry that leads, by its log."""
+        """Return the entry that last logged that it leads."""
         leading = [
             (float(event['time']), process.name)
             for process in self.running.processes.values()
@@ -216,10 +217,10 @@
         return max(leading)[1]
 
     async def _post(self, url: str, **body: t.Any) -> dict[str, t.Any]:
-        """Tell a stand-in something."""
-        answer = await self.running.client.post(f'http://{url}', json=body)
-        answer.raise_for_status()
-        return answer.json()
+        """Post a request to a stand-in and return its response."""
+        response = await self.running.client.post(f'http://{url}', json=body)
+        response.raise_for_status()
+        return response.json()
 
     def _make_sections(self, name: str, **jobs: t.Any) -> dict:
         if self.lease_seconds is not None:
@@ -238,25 +239,25 @@
 def find_overlaps(
     starts: list[dict[str, t.Any]], kept: bool = False
 ) -> list[str]:
-    """Return the tasks that ran twice at the same time, or after done.
+    """Return the tasks that ran twice concurrently, or again after done.
 
     Parameters
     ----------
     starts : list of dict
         What ``Deployed.list_starts`` returned.
     kept : bool
-        Whether only such ends as done count that the agent was told to
-        forget; one that a crash took with it may be followed by a run.
+        Whether a task is done only once its end was acknowledged to the
+        agent; an end that is lost in a crash may be followed by a run.
     """
-    found = []
+    overlaps = []
     for i, first in enumerate(starts):
         for second in starts[i + 1 :]:
             if first['task'] != second['task']:
                 continue
-            open_ended = not first['ended']
+            is_running = not first['ended']
             done = first['how'] == 'done'
             if kept and not first['acknowledged']:
                 done = False
-            if open_ended or second['began'] < first['ended'] or done:
-                found.append(first['task'])
-    return found
+            if is_running or second['began'] < first['ended'] or done:
+                overlaps.append(first['task'])
+    return overlaps
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,8 +1,8 @@
-"""The platform's store on its own wire: ``python -m standins.platform_store``.
+"""Stand-in for the platform's store: ``python -m standins.platform_store``.
 
-``POST /faults`` sets what goes wrong from then on, ``GET /items``
-returns all keys with their values, and ``POST /operator`` writes a key as
-an operator does.
+Serves the platform's protocol. ``POST /faults`` sets the faults to
+inject, ``GET /items`` returns all keys with their values, and ``POST
+/operator`` writes a key as an operator would.
 """
 
 import base64
@@ -20,25 +20,25 @@
 from persimmonsail import logs
 from standins import serving
 
-_EXPIRY_PERIOD = 0.05
-_PAGE = 100
+_EXPIRY_PERIOD_SECONDS = 0.05
+_PAGE_SIZE = 100
 
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong with calls, from now on.
+    """Faults injected into calls.
 
     Attributes
     ----------
     down : str
-        ``busy``: calls are refused; ``silent``: they get no answer.
+        ``busy``: calls are refused; ``silent``: they get no response.
     lose_writes : int
-        So many next transactions take effect without an answer.
+        Number of next transactions that take effect without a response.
     delay_writes : float
-        With ``lose_writes``: they take effect so many seconds later, if
-        their condition still holds.
+        With ``lose_writes``: seconds until they take effect, if their
+        precondition still holds.
     hang_watch : str
-        Watches of this prefix get no answer; all other calls do.
+        Watches of this prefix get no response; all other calls do.
     """
 
     down: str = ''
@@ -62,58 +62,60 @@
 
 
 class PlatformStore:
-    """All keys in memory, with their history."""
+    """Holds all keys in memory, with their history."""
 
     def __init__(self) -> None:
         self.faults = Faults()
         self._revision = 1
         self._items: dict[str, _Item] = {}
         self._history: list[tuple[int, str, _Item | None]] = []
-        self._forgotten = 0
+        self._discarded_revision = 0
         self._leases: dict[int, _Lease] = {}
-        self._numbers = itertools.count(100)
+        self._lease_ids = itertools.count(100)
         self._changed = anyio.Event()
         self._group: anyio.abc.TaskGroup | None = None
         post = {'methods': ['POST']}
         self.app = applications.Starlette(
             routes=[
                 routing.Route('/v1/kv-key', self._get),
-                routing.Route('/v1/kv-range', self._range),
+                routing.Route('/v1/kv-range', self._list_range),
                 routing.Route('/v1/kv-watch', self._watch),
                 routing.Route('/v1/kv-txn', self._commit, **post),
                 routing.Route('/v1/kv-lease', self._grant, **post),
                 routing.Route('/v1/kv-keep/{id:int}', self._renew, **post),
                 routing.Route(
-                    '/v1/kv-lease-end/{id:int}', self._end, methods=['DELETE']
+                    '/v1/kv-lease-end/{id:int}',
+                    self._revoke,
+                    methods=['DELETE'],
                 ),
                 routing.Route('/faults', self._set_faults, **post),
-                routing.Route('/operator', self._operate, **post),
-                routing.Route('/items', self._show),
+                routing.Route('/operator', self._write_as_operator, **post),
+                routing.Route('/items', self._list_items),
             ]
         )
 
     async def run(self) -> None:
-        """End leases in time, and carry out late writes."""
+        """End expired leases and execute delayed writes."""
         async with anyio.create_task_group() as group:
             self._group = group
             while True:
-                await anyio.sleep(_EXPIRY_PERIOD)
+                await anyio.sleep(_EXPIRY_PERIOD_SECONDS)
                 now = time.monotonic()
                 for id, lease in list(self._leases.items()):
                     if lease.deadline < now:
-                        self._drop_lease(id)
+                        self._end_lease(id)
 
-    def forget_history(self) -> None:
-        """Answer watches from before now as lost."""
+    def discard_history(self) -> None:
+        """Discard past changes; watches that start before now get 410."""
         self._history.clear()
-        self._forgotten = self._revision
-        self._wake()
+        self._discarded_revision = self._revision
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _drop_lease(self, id: int) -> None:
+    def _end_lease(self, id: int) -> None:
         self._leases.pop(id, None)
         keys = [k for k, item in self._items.items() if item.lease == id]
         if keys:
@@ -123,8 +125,8 @@
         self._revision += 1
         for put in puts:
             key = put['key']
-            before = self._items.get(key)
-            created = before.created if before else self._revision
+            previous = self._items.get(key)
+            created = previous.created if previous else self._revision
             item = _Item(
                 put['value'], self._revision, created, put.get('lease', 0)
             )
@@ -133,10 +135,10 @@
         for key in removed:
             if self._items.pop(key, None) is not None:
                 self._history.append((self._revision, key, None))
-        self._wake()
+        self._notify_watches()
         return self._revision
 
-    async def _fail(self) -> responses.Response | None:
+    async def _apply_outage(self) -> responses.Response | None:
         if self.faults.down == 'silent':
             await anyio.sleep_forever()
         if self.faults.down == 'busy':
@@ -150,15 +152,17 @@
         return {'key': key, **dataclasses.asdict(item)}
 
     async def _get(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_outage()) is not None:
             return failure
         key = request.query_params['key']
         status = 200 if key in self._items else 404
         body = {**self._dump(key), 'atRev': self._revision}
         return responses.JSONResponse(body, status_code=status)
 
-    async def _range(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+    async def _list_range(
+        self, request: requests.Request
+    ) -> responses.Response:
+        if (failure := await self._apply_outage()) is not None:
             return failure
         query = request.query_params
         keys = sorted(
@@ -168,8 +172,8 @@
         )
         return responses.JSONResponse(
             {
-                'items': [self._dump(key) for key in keys[:_PAGE]],
-                'hasMore': len(keys) > _PAGE,
+                'items': [self._dump(key) for key in keys[:_PAGE_SIZE]],
+                'hasMore': len(keys) > _PAGE_SIZE,
                 'atRev': self._revision,
             }
         )
@@ -179,26 +183,26 @@
         after = int(query['after'])
         deadline = time.monotonic() + int(query['waitMs']) / 1000
         while True:
-            if (failure := await self._fail()) is not None:
+            if (failure := await self._apply_outage()) is not None:
                 return failure
             if query['prefix'] == self.faults.hang_watch:
                 await anyio.sleep_forever()
-            if after < self._forgotten:
+            if after < self._discarded_revision:
                 return responses.JSONResponse({}, status_code=410)
             events = [
                 _dump_event(revision, key, item)
                 for revision, key, item in self._history
                 if revision > after and key.startswith(query['prefix'])
             ]
-            left = deadline - time.monotonic()
-            if events or left <= 0:
+            remaining = deadline - time.monotonic()
+            if events or remaining <= 0:
                 body = {'events': events, 'atRev': self._revision}
                 return responses.JSONResponse(body)
-            with anyio.move_on_after(left):
+            with anyio.move_on_after(remaining):
                 await self._changed.wait()
 
     async def _commit(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_outage()) is not None:
             return failure
         body = await request.json()
         if self.faults.lose_writes:
@@ -218,9 +222,9 @@
         for row in conditions:
             item = self._items.get(row['key'])
             if (item.revision if item else 0) != row['revision']:
-                found = [self._dump(row['key']) for row in conditions]
+                current = [self._dump(row['key']) for row in conditions]
                 return responses.JSONResponse(
-                    {'items': found}, status_code=412
+                    {'items': current}, status_code=412
                 )
         for put in body.get('puts', []):
             lease = put.get('lease', 0)
@@ -230,17 +234,17 @@
         return responses.JSONResponse({'revision': revision})
 
     async def _grant(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_outage()) is not None:
             return failure
         seconds = (await request.json())['ttlMs'] / 1000
-        id = next(self._numbers)
+        id = next(self._lease_ids)
         self._leases[id] = _Lease(seconds, time.monotonic() + seconds)
         return responses.JSONResponse(
             {'lease': id, 'ttlMs': round(seconds * 1000)}
         )
 
     async def _renew(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+        if (failure := await self._apply_outage()) is not None:
             return failure
         lease = self._leases.get(request.path_params['id'])
         if lease is None:
@@ -248,10 +252,10 @@
         lease.deadline = time.monotonic() + lease.seconds
         return responses.JSONResponse({'ttlMs': round(lease.seconds * 1000)})
 
-    async def _end(self, request: requests.Request) -> responses.Response:
-        if (failure := await self._fail()) is not None:
+    async def _revoke(self, request: requests.Request) -> responses.Response:
+        if (failure := await self._apply_outage()) is not None:
             return failure
-        self._drop_lease(request.path_params['id'])
+        self._end_lease(request.path_params['id'])
         return responses.JSONResponse({})
 
     async def _set_faults(
@@ -259,21 +263,25 @@
     ) -> responses.Response:
         body = await request.json()
         if body.pop('forget', False):
-            self.forget_history()
+            self.discard_history()
         if body.pop('revoke', False):
             for id in list(self._leases):
-                self._drop_lease(id)
+                self._end_lease(id)
         self.faults = Faults(**body)
-        self._wake()
+        self._notify_watches()
         return responses.JSONResponse({})
 
-    async def _operate(self, request: requests.Request) -> responses.Response:
+    async def _write_as_operator(
+        self, request: requests.Request
+    ) -> responses.Response:
         body = await request.json()
         value = base64.b64encode(json.dumps(body['value']).encode()).decode()
         revision = self._apply([{'key': body['key'], 'value': value}], [])
         return responses.JSONResponse({'revision': revision})
 
-    async def _show(self, request: requests.Request) -> responses.Response:
+    async def _list_items(
+        self, request: requests.Request
+    ) -> responses.Response:
         return responses.JSONResponse(
             {
                 key: base64.b64decode(item.value).decode()
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,12 +1,13 @@
 """Fault-injecting TCP proxy: ``python -m standins.proxy``.
 
-``--target host:port`` is where bytes go. ``POST /faults`` on the
-control address takes JSON: ``mode`` is one of pass, cut (close all and
-refuse), freeze (hold bytes of all connections), silent (drop bytes of
-the connections open now; new ones work), one-way (drop what the target
-sends, so that calls take effect without an answer), ``delay`` in seconds,
-``rate`` in bytes a second of each connection each way (0: no limit), and
-``target`` for where new connections go.
+Connections are forwarded to ``--target host:port``. ``POST /faults`` on
+the control address takes JSON: ``mode`` is one of pass, cut (close all
+connections and refuse new ones), freeze (hold the bytes of all
+connections), silent (drop the bytes of the connections that are open;
+new ones work), one-way (drop what the target sends, so that calls take
+effect without a response), ``delay`` in seconds, ``rate`` in bytes per
+second of each connection and direction (0: no limit), and ``target``,
+the target of new connections.
 """
 
 import collections.abc
@@ -22,9 +23,10 @@
 from persimmonsail import logs
 from standins import serving
 
-_CHUNK = 65536
-# A limited connection passes so many chunks a second, as a thin link does.
-_CHUNKS_A_SECOND = 20
+_CHUNK_BYTES = 65536
+# A rate-limited connection forwards small chunks, to approximate the steady
+# flow of a slow link.
+_CHUNKS_PER_SECOND = 20
 
 
 class Connection:
@@ -45,7 +47,7 @@
         self._mode = 'pass'
         self._delay = 0.0
         self.rate = 0
-        self._thawed = anyio.Event()
+        self._unfrozen = anyio.Event()
         self._connections: set[Connection] = set()
         self.app = applications.Starlette(
             routes=[
@@ -54,7 +56,7 @@
         )
 
     def set_mode(self, mode: str, delay: float = 0.0) -> None:
-        """Bring a fault about, or end it with ``pass``."""
+        """Inject a fault, or end it with ``pass``."""
         self._mode = mode
         self._delay = delay
         if mode == 'silent':
@@ -64,8 +66,8 @@
             for connection in self._connections:
                 connection.scope.cancel()
         if mode != 'freeze':
-            self._thawed.set()
-            self._thawed = anyio.Event()
+            self._unfrozen.set()
+            self._unfrozen = anyio.Event()
 
     async def run(self) -> None:
         """Accept connections until cancelled."""
@@ -85,27 +87,34 @@
             self._connections.add(connection)
             try:
                 with connection.scope:
-                    await self._join(client, server, connection)
+                    await self._relay(client, server, connection)
             finally:
                 self._connections.discard(connection)
 
-    async def _join(self, client, server, connection: Connection) -> None:
+    async def _relay(self, client, server, connection: Connection) -> None:
         async with server, anyio.create_task_group() as group:
-            there = (client, server, False)
-            back = (server, client, True)
-            for source, target, answers in (there, back):
+            upstream = (client, server, False)
+            downstream = (server, client, True)
+            for source, target, is_response in (upstream, downstream):
                 group.start_soon(
-                    self._copy, source, target, answers, connection, group
+                    self._forward,
+                    source,
+                    target,
+                    is_response,
+                    connection,
+                    group,
                 )
 
-    async def _copy(
-        self, source, target, answers: bool, connection: Connection, group
+    async def _forward(
+        self, source, target, is_response: bool, connection: Connection, group
     ) -> None:
         try:
             async for chunk in self._read(source):
                 while self._mode == 'freeze':
-                    await self._thawed.wait()
-                if connection.silent or (answers and self._mode == 'one-way'):
+                    await self._unfrozen.wait()
+                if connection.silent or (
+                    is_response and self._mode == 'one-way'
+                ):
                     continue
                 if self._delay:
                     await anyio.sleep(self._delay)
@@ -119,7 +128,7 @@
         self, source: anyio.abc.ByteStream
     ) -> collections.abc.AsyncIterator[bytes]:
         while True:
-            size = self.rate // _CHUNKS_A_SECOND or _CHUNK
+            size = self.rate // _CHUNKS_PER_SECOND or _CHUNK_BYTES
             try:
                 chunk = await source.receive(size)
             except anyio.EndOfStream:
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,11 +1,11 @@
-"""The worker's agent on the platform's wire: ``python -m standins.runner``.
-
-``POST /connect`` names the sidecar's address for heartbeats; ``POST
-/faults`` sets what goes wrong; ``GET /starts`` returns every start that
-was carried out, in order. A task's payload says how long it runs, in
-milliseconds; ``lasts`` runs until it is stopped. A word ``crash=KEYS`` in
-front of that names tasks of the job, as ``0.0.0/0.0.1``, that end the agent
-shortly after each of their starts.
+"""Stand-in for a worker's agent: ``python -m standins.runner``.
+
+Serves the platform's protocol. ``POST /connect`` sets the sidecar's
+address for heartbeats; ``POST /faults`` sets the faults to inject; ``GET
+/starts`` returns every start that was executed, in order. The payload of
+a task is its duration in milliseconds, or ``lasts`` to run until it is
+stopped. A prefix ``crash=KEYS`` lists tasks of the job, as
+``0.0.0/0.0.1``, that crash the agent shortly after each of their starts.
 """
 
 import dataclasses
@@ -24,34 +24,34 @@
 from standins import advisor
 from standins import serving
 
-_TICK_SECONDS = 0.02
+_UPDATE_SECONDS = 0.02
 _HEARTBEAT_SECONDS = 0.2
 
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong with orders, from now on.
+    """Faults injected into orders.
 
     Attributes
     ----------
     late_starts : int
-        So many next starts get no answer and are carried out later.
+        Number of next starts that get no response and are executed later.
     late_seconds : float
-        How much later.
+        Delay of these starts.
     silent : bool
-        No call gets an answer and no heartbeat leaves; what runs goes on
-        until its lease ends.
+        No call gets a response and no heartbeat is sent; tasks keep
+        running until their lease ends.
     fail : bool
-        Every task fails at once.
+        Every task fails immediately.
     needs_ticket : bool
-        A start has to carry the advisor's ticket, as with a queue that
-        has an advisor.
+        A start must carry the advisor's permit, as in a queue that has an
+        advisor.
     crash_seconds : float
-        How long after its start a task that ends the agent does so.
+        Delay between the start of a crashing task and the crash.
     down_seconds : float
-        How long the agent is gone then.
+        Downtime of the agent after the crash.
     millicores : int
-        What it says that it has; it starts whatever it is told to.
+        Capacity that the agent reports; it does not enforce it.
     """
 
     late_starts: int = 0
@@ -74,22 +74,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Payload:
-    """What a job's tasks do; ``seconds`` is None for those that last."""
+    """Behaviour of a job's tasks; ``seconds`` is None if they last."""
 
     seconds: float | None
     crashing: frozenset[str]
 
     @classmethod
-    def read(cls, text: str) -> '_Payload':
-        *words, length = text.split()
-        crashing = ''.join(words).removeprefix('crash=').split('/')
-        seconds = None if length == 'lasts' else int(length) / 1000
+    def parse(cls, text: str) -> '_Payload':
+        *options, duration = text.split()
+        crashing = ''.join(options).removeprefix('crash=').split('/')
+        seconds = None if duration == 'lasts' else int(duration) / 1000
         return cls(seconds, frozenset(crashing))
 
 
 @dataclasses.dataclass
 class Start:
-    """A start that was carried out, and when it ended."""
+    """A start that was executed, and when and how it ended."""
 
     boot: str
     task: str
@@ -101,13 +101,13 @@
 
 
 class RunnerServer:
-    """One worker's agent; a new boot forgets everything."""
+    """One worker's agent; a new boot loses all state."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self.faults = Faults()
         self.starts: list[Start] = []
-        self._target = ''
+        self._sidecar_address = ''
         self._leaving = False
         self._sequence = 0
         self._group: anyio.abc.TaskGroup | None = None
@@ -118,48 +118,50 @@
                 routing.Route('/v1/run-start', self._start, **post),
                 routing.Route('/v1/run-stop', self._stop, **post),
                 routing.Route('/v1/hold', self._hold, **post),
-                routing.Route('/v1/pace', self._pace, **post),
+                routing.Route('/v1/pace', self._throttle, **post),
                 routing.Route('/connect', self._connect, **post),
                 routing.Route('/faults', self._set_faults, **post),
-                routing.Route('/starts', self._show),
+                routing.Route('/starts', self._list_starts),
             ]
         )
 
     def _reset(self) -> None:
         self.boot = f'i-{uuid.uuid4().hex[:8]}'
-        self._fence = 0
-        self._until = 0
+        self._fencing_token = 0
+        self._lease_until_ms = 0
         self._runs: dict[str, _Run] = {}
         self._barred: dict[str, int] = {}
         self._ended: list[list] = []
-        self._number = 0
-        self._void: set[int] = set()
+        self._last_end_number = 0
+        self._lapsed_ends: set[int] = set()
         self._changed = anyio.Event()
 
     async def run(self) -> None:
-        """End tasks and leases in time, and send heartbeats."""
+        """End tasks and leases when they are due, and send heartbeats."""
         async with anyio.create_task_group() as group:
             self._group = group
-            group.start_soon(self._beat)
+            group.start_soon(self._send_heartbeats)
             while True:
-                await anyio.sleep(_TICK_SECONDS)
-                self._tick()
+                await anyio.sleep(_UPDATE_SECONDS)
+                self._update_runs()
 
     def restart(self) -> None:
-        """Crash, and start again as a new boot."""
+        """Crash and restart as a new boot."""
         for start in self.starts:
             if not start.ended:
                 start.ended = time.time()
                 start.how = 'crashed'
         self._reset()
 
-    def _tick(self) -> None:
+    def _update_runs(self) -> None:
         now = time.monotonic()
-        lapsed = self._until and _read_clock() > self._until
+        lapsed = (
+            self._lease_until_ms and _read_clock_ms() > self._lease_until_ms
+        )
         if lapsed:
-            # What ended before is not known to anybody: whoever waited
-            # the lease out may have it run again.
-            self._void.update(row[0] for row in self._ended)
+            # Once the lease has lapsed the leader may rerun tasks whose end
+            # it does not know of; acknowledging such an end does not count.
+            self._lapsed_ends.update(row[0] for row in self._ended)
         for run in list(self._runs.values()):
             if lapsed:
                 self._end(run, 'lapsed')
@@ -168,23 +170,25 @@
             elif run.ends_at is not None and run.ends_at <= now:
                 self._end(run, 'done')
 
-    def _end(self, run: _Run, how: str) -> None:
+    def _end(self, run: _Run, outcome: str) -> None:
         del self._runs[run.task]
         self._barred[run.task] = run.number
-        self._number += 1
-        self._ended.append([self._number, run.task, run.number, how, ''])
+        self._last_end_number += 1
+        self._ended.append(
+            [self._last_end_number, run.task, run.number, outcome, '']
+        )
         start = self._find_start(run.task, run.number)
         if start is not None:
             start.ended = time.time()
-            start.how = how
+            start.how = outcome
         self._changed.set()
         self._changed = anyio.Event()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         async with httpx.AsyncClient(trust_env=False, timeout=1.0) as client:
             while True:
                 await anyio.sleep(_HEARTBEAT_SECONDS)
-                if not self._target or self.faults.silent:
+                if not self._sidecar_address or self.faults.silent:
                     continue
                 self._sequence += 1
                 body = {
@@ -199,15 +203,15 @@
                         'gpu': 0,
                     },
                     'labels': ['a', 'r1-1'],
-                    'clockMs': _read_clock(),
+                    'clockMs': _read_clock_ms(),
                 }
-                url = f'http://{self._target}/v1/runners/{self.boot}'
+                url = f'http://{self._sidecar_address}/v1/runners/{self.boot}'
                 try:
                     await client.put(url, json=body)
                 except httpx.HTTPError as error:
                     logs.write_event('heartbeat-lost', error=repr(error))
 
-    async def _check(
+    async def _validate(
         self, request: requests.Request
     ) -> tuple[dict, responses.Response | None]:
         if self.faults.silent:
@@ -215,53 +219,55 @@
         body = await request.json()
         if request.headers['Expected-Instance'] != self.boot:
             return body, responses.JSONResponse({}, status_code=421)
-        if body['fencingToken'] < self._fence:
+        if body['fencingToken'] < self._fencing_token:
             return body, _refuse('fence')
-        self._fence = body['fencingToken']
+        self._fencing_token = body['fencingToken']
         return body, None
 
     async def _start(self, request: requests.Request) -> responses.Response:
-        body, refusal = await self._check(request)
+        body, refusal = await self._validate(request)
         if refusal is not None:
             return refusal
         if self.faults.late_starts:
             self.faults.late_starts -= 1
             self._group.start_soon(
-                self._start_late, self.boot, body, self.faults.late_seconds
+                self._start_delayed, self.boot, body, self.faults.late_seconds
             )
             await anyio.sleep_forever()
         return self._start_now(body)
 
-    async def _start_late(self, boot: str, body: dict, wait: float) -> None:
-        await anyio.sleep(wait)
+    async def _start_delayed(
+        self, boot: str, body: dict, seconds: float
+    ) -> None:
+        await anyio.sleep(seconds)
         if boot == self.boot:
             self._start_now(body)
 
     def _start_now(self, body: dict) -> responses.Response:
         task, number = body['task'], body['run']
-        if body['untilMs'] < _read_clock():
+        if body['untilMs'] < _read_clock_ms():
             return _refuse('late')
         if self.faults.needs_ticket:
             step = task.rpartition('.')[0]
-            if body.get('ticket') != advisor.make_ticket(step, self.boot):
+            if body.get('ticket') != advisor.make_permit(step, self.boot):
                 return _refuse('ticket')
-        known = self._runs.get(task)
-        if known is not None and known.number == number:
-            return _answer({})
-        if known is not None or number <= self._barred.get(task, 0):
+        current = self._runs.get(task)
+        if current is not None and current.number == number:
+            return _respond({})
+        if current is not None or number <= self._barred.get(task, 0):
             return _refuse('old')
-        self._until = max(self._until, body['untilMs'])
-        payload = _Payload.read(body['spec'])
+        self._lease_until_ms = max(self._lease_until_ms, body['untilMs'])
+        payload = _Payload.parse(body['spec'])
         ends_at = None
         if payload.seconds is not None:
             ends_at = time.monotonic() + payload.seconds
         self._runs[task] = _Run(task, number, ends_at, self.faults.fail)
         self.starts.append(Start(self.boot, task, number, time.time()))
         if task.partition('.')[2] in payload.crashing:
-            self._group.start_soon(self._crash_soon, self.boot)
-        return _answer({})
+            self._group.start_soon(self._crash_later, self.boot)
+        return _respond({})
 
-    async def _crash_soon(self, boot: str) -> None:
+    async def _crash_later(self, boot: str) -> None:
         await anyio.sleep(self.faults.crash_seconds)
         if boot != self.boot:
             return
@@ -271,7 +277,7 @@
         faults.silent = False
 
     async def _stop(self, request: requests.Request) -> responses.Response:
-        body, refusal = await self._check(request)
+        body, refusal = await self._validate(request)
         if refusal is not None:
             return refusal
         task, number = body['task'], body['run']
@@ -279,27 +285,29 @@
         if run is not None and run.number == number:
             self._end(run, 'stopped')
         self._barred[task] = max(self._barred.get(task, 0), number)
-        return _answer({})
+        return _respond({})
 
     async def _hold(self, request: requests.Request) -> responses.Response:
-        body, refusal = await self._check(request)
+        body, refusal = await self._validate(request)
         if refusal is not None:
             return refusal
-        self._until = max(self._until, body.get('untilMs', 0))
-        self._forget(body['acked'])
+        self._lease_until_ms = max(
+            self._lease_until_ms, body.get('untilMs', 0)
+        )
+        self._discard_ended(body['acked'])
         if not self._ended and body.get('waitMs'):
             with anyio.move_on_after(body['waitMs'] / 1000):
                 await self._changed.wait()
         if request.headers['Expected-Instance'] != self.boot:
-            # The agent has crashed meanwhile.
+            # The agent crashed during the wait.
             await anyio.sleep_forever()
         running = [[r.task, r.number, '', 0, 0] for r in self._runs.values()]
-        return _answer({'running': running, 'finished': self._ended})
+        return _respond({'running': running, 'finished': self._ended})
 
-    def _forget(self, number: int) -> None:
-        """Drop the ends up to a number; the caller has noted them."""
+    def _discard_ended(self, number: int) -> None:
+        """Discard the ends up to a number, which the caller has recorded."""
         for row in self._ended:
-            if row[0] <= number and row[0] not in self._void:
+            if row[0] <= number and row[0] not in self._lapsed_ends:
                 start = self._find_start(row[1], row[2])
                 if start is not None:
                     start.acknowledged = True
@@ -312,12 +320,12 @@
                 return start
         return None
 
-    async def _pace(self, request: requests.Request) -> responses.Response:
-        _, refusal = await self._check(request)
-        return refusal or _answer({})
+    async def _throttle(self, request: requests.Request) -> responses.Response:
+        _, refusal = await self._validate(request)
+        return refusal or _respond({})
 
     async def _connect(self, request: requests.Request) -> responses.Response:
-        self._target = (await request.json())['address']
+        self._sidecar_address = (await request.json())['address']
         return responses.JSONResponse({})
 
     async def _set_faults(
@@ -330,22 +338,24 @@
         self.faults = Faults(**body)
         return responses.JSONResponse({'boot': self.boot})
 
-    async def _show(self, request: requests.Request) -> responses.Response:
+    async def _list_starts(
+        self, request: requests.Request
+    ) -> responses.Response:
         return responses.JSONResponse(
             [dataclasses.asdict(start) for start in self.starts]
         )
 
 
-def _read_clock() -> int:
+def _read_clock_ms() -> int:
     return round(time.monotonic() * 1000)
 
 
-def _answer(body: dict) -> responses.Response:
-    return responses.JSONResponse({'clockMs': _read_clock(), **body})
+def _respond(body: dict) -> responses.Response:
+    return responses.JSONResponse({'clockMs': _read_clock_ms(), **body})
 
 
 def _refuse(reason: str) -> responses.Response:
-    body = {'clockMs': _read_clock(), 'reason': reason}
+    body = {'clockMs': _read_clock_ms(), 'reason': reason}
     return responses.JSONResponse(body, status_code=409)
 
 
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Running a stand-in as a process of its own."""
+"""Runs a stand-in as a process."""
 
 import argparse
 import signal
@@ -14,7 +14,7 @@
 async def serve(
     app: t.Any, address: str, *background: t.Callable[[], t.Awaitable[None]]
 ) -> None:
-    """Serve until SIGTERM; log the address once it is known."""
+    """Serve until SIGTERM; log the address when listening."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with (
             anyio.create_task_group() as group,
@@ -29,7 +29,7 @@
 
 
 def parse_arguments(description: str, *options: str) -> argparse.Namespace:
-    """Read ``--listen``, ``--name`` and further ``--option value`` pairs."""
+    """Parse ``--listen``, ``--name`` and further ``--option value`` pairs."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--listen', default='127.0.0.1:0')
     parser.add_argument('--name', default=description.split()[0].lower())
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,7 +1,7 @@
-"""Store stand-in as a process: ``python -m standins.store``.
+"""Store stand-in: ``python -m standins.store``.
 
-``POST /v1/<call>`` with a JSON body; ``POST /faults`` sets faults;
-``GET /calls`` returns the numbers of calls.
+``POST /v1/<call>`` with a JSON body makes a call, ``POST /faults`` sets
+the faults to inject, and ``GET /calls`` returns the number of calls.
 """
 
 import dataclasses
@@ -18,15 +18,15 @@
 from standins import memory
 from standins import serving
 
-_EXPIRY_PERIOD = 0.05
+_EXPIRY_PERIOD_SECONDS = 0.05
 
 
 class StoreServer:
-    """Offers one ``MemoryStore`` over HTTP."""
+    """Serves one ``MemoryStore`` over HTTP."""
 
     def __init__(self) -> None:
         self.memory = memory.MemoryStore()
-        self._calls = {
+        self._handlers = {
             'get': self._get,
             'scan': self._scan,
             'put': self._put,
@@ -38,22 +38,24 @@
         }
         self.app = applications.Starlette(
             routes=[
-                routing.Route('/v1/{name:path}', self._call, methods=['POST']),
+                routing.Route(
+                    '/v1/{name:path}', self._handle, methods=['POST']
+                ),
                 routing.Route('/faults', self._set_faults, methods=['POST']),
                 routing.Route('/calls', self._show_calls),
             ]
         )
 
     async def expire_leases(self) -> None:
-        """End leases in time, also when nobody calls."""
+        """End expired leases periodically, also without calls."""
         while True:
-            await anyio.sleep(_EXPIRY_PERIOD)
+            await anyio.sleep(_EXPIRY_PERIOD_SECONDS)
             self.memory.expire_leases()
 
-    async def _call(self, request: requests.Request) -> responses.Response:
-        call = self._calls[request.path_params['name']]
+    async def _handle(self, request: requests.Request) -> responses.Response:
+        handler = self._handlers[request.path_params['name']]
         try:
-            return responses.JSONResponse(await call(await request.json()))
+            return responses.JSONResponse(await handler(await request.json()))
         except exceptions.Conflict as error:
             body = {'revision': error.actual}
             return responses.JSONResponse(body, status_code=409)
--- a/standins/usage.py
+++ b/standins/usage.py
@@ -1,4 +1,4 @@
-"""The worker stand-in's usage reports, which come late or never."""
+"""Usage reports of the worker stand-in, which may be late or missing."""
 
 import collections
 import dataclasses
@@ -17,35 +17,37 @@
 
 
 class UsageReports:
-    """Measures windows of use; ``lag`` is how late each is given out."""
+    """Measures usage by window; each is reported ``lag`` seconds late."""
 
     def __init__(self) -> None:
         self.lag = 0.0
         self.missing = False
-        self._begin: float | None = None
-        self._used: dict[str, float] = {}
+        self._window_begin: float | None = None
+        self._core_seconds: dict[str, float] = {}
         self._windows: collections.deque[_Window] = collections.deque(
             maxlen=_MAX_WINDOWS
         )
         self._sequence = 0
 
     def measure(self, runs: t.Iterable, now: float, elapsed: float) -> None:
-        """Add a stretch of time to the window, and close it when due."""
-        if self._begin is None:
-            self._begin = now
+        """Add elapsed time to the current window; close it when due."""
+        if self._window_begin is None:
+            self._window_begin = now
             return
         active = [run for run in runs if run.phase == 'active']
         for run in active:
-            spent = elapsed * run.cores * run.speed
-            self._used[run.task] = self._used.get(run.task, 0.0) + spent
-        if now - self._begin < _WINDOW_SECONDS:
+            added = elapsed * run.cores * run.speed
+            self._core_seconds[run.task] = (
+                self._core_seconds.get(run.task, 0.0) + added
+            )
+        if now - self._window_begin < _WINDOW_SECONDS:
             return
-        length = now - self._begin
+        duration = now - self._window_begin
         tasks = [
             {
                 'task': run.task,
                 'workload': run.workload,
-                'cores': self._used.get(run.task, 0.0) / length,
+                'cores': self._core_seconds.get(run.task, 0.0) / duration,
                 'speed': run.speed,
                 'active': True,
             }
@@ -54,13 +56,13 @@
         self._sequence += 1
         if not self.missing:
             self._windows.append(
-                _Window(self._sequence, self._begin, now, tasks)
+                _Window(self._sequence, self._window_begin, now, tasks)
             )
-        self._begin = now
-        self._used = {}
+        self._window_begin = now
+        self._core_seconds = {}
 
     def list_after(self, sequence: int, now: float) -> list[dict]:
-        """Return the windows after one that are old enough by now."""
+        """Return the windows after ``sequence`` that are reported by now."""
         return [
             dataclasses.asdict(window)
             for window in self._windows
--- a/standins/virtual/fleet.py
+++ b/standins/virtual/fleet.py
@@ -1,4 +1,4 @@
-"""The system's roles and its stand-ins as processes of a world."""
+"""The system's roles and stand-ins as simulated processes."""
 
 import json
 import pathlib
@@ -54,7 +54,7 @@
 
 
 class Fleet:
-    """Two entries, three instances and a store in a world."""
+    """Two entries, three instances and a store in one simulation."""
 
     entries = ('entry-1', 'entry-2')
     instances = ('one', 'two', 'three')
@@ -67,7 +67,7 @@
         self.records: dict[str, list[dict]] = {}
 
     def start_all(self) -> None:
-        """Start every process and put the example catalogue in force."""
+        """Start every process and apply the example catalogue."""
         self.world.start('client', anyio.sleep_forever)
         self.world.start('store', self._run_store)
         self.world.run_for(0.1)
@@ -82,36 +82,36 @@
         self.world.run_for(5.0)
 
     def start_entry(self, name: str) -> None:
-        """Start an entry, or start it again."""
+        """Start or restart an entry."""
         settings = settings_module.parse(
             name, _ENTRY.format(name=name), 'entry'
         )
         self.world.start(name, entry.run, settings)
 
     def start_sidecar(self, name: str) -> None:
-        """Start a sidecar, or start it again."""
+        """Start or restart a sidecar."""
         entries = ', '.join(f'{entry}:7000' for entry in self.entries)
         text = _SIDECAR.format(name=name, entries=entries)
         settings = settings_module.parse(name, text, 'sidecar')
         self.world.start(name, sidecar.run, settings)
 
     def start_worker(self, name: str) -> None:
-        """Start a worker, or start it again with nothing in memory."""
+        """Start a worker, or restart it with empty memory."""
         self.world.start(f'worker-{name}', self._run_worker, name)
 
     async def apply(self, text: str, author: str = 'operator') -> int:
-        """Put a catalogue in force and return its revision."""
+        """Apply a catalogue and return its revision."""
         store = store_module.KINDS['http'](STORE, 0.5)
-        kept = catalogue_store.CatalogueStore(store)
-        head = await kept.swap(await kept.read(), text, author)
+        catalogues = catalogue_store.CatalogueStore(store)
+        head = await catalogues.swap(await catalogues.read(), text, author)
         return head.revision
 
     async def post(
         self, entry_name: str, workload: str, body: dict, key: str = ''
     ) -> httpx.Response | None:
-        """Send a caller's request; nothing if no answer came."""
+        """Send a caller's request; return None without a response."""
         headers = {'idempotency-key': key} if key else {}
-        return await self._ask(
+        return await self._request(
             'POST',
             f'http://{entry_name}:8000/v1/workloads/{workload}/requests',
             json=body,
@@ -121,20 +121,20 @@
     async def get_task(
         self, entry_name: str, task: str
     ) -> httpx.Response | None:
-        """Ask for a task's state."""
-        return await self._ask(
+        """Request the state of a task."""
+        return await self._request(
             'GET', f'http://{entry_name}:8000/v1/tasks/{task}'
         )
 
     async def cancel_task(
         self, entry_name: str, task: str
     ) -> httpx.Response | None:
-        """Ask for a task's end."""
-        return await self._ask(
+        """Request the cancellation of a task."""
+        return await self._request(
             'DELETE', f'http://{entry_name}:8000/v1/tasks/{task}'
         )
 
-    async def _ask(
+    async def _request(
         self, method: str, url: str, **options: t.Any
     ) -> httpx.Response | None:
         async with httpx.AsyncClient(timeout=20) as client:
@@ -172,5 +172,5 @@
 
 
 def read_json(response: httpx.Response) -> dict:
-    """Return the JSON body of an answer."""
+    """Return the JSON body of a response."""
     return json.loads(response.content)
--- a/standins/virtual/network.py
+++ b/standins/virtual/network.py
@@ -1,4 +1,4 @@
-"""The virtual network: HTTP and gRPC between the world's processes."""
+"""Simulated network: HTTP and gRPC between simulated processes."""
 
 import asyncio
 import collections
@@ -15,36 +15,36 @@
 
 
 class Fakes:
-    """Makes what stands in for sockets, servers, clients and signals."""
+    """Creates the replacements of servers, clients and signals."""
 
     def __init__(self, world: t.Any) -> None:
         self._world = world
 
     def open_signal_receiver(self, *_numbers: int):
-        """Stand in for ``anyio.open_signal_receiver``."""
-        return _open_signals(self._world.current)
+        """Replace ``anyio.open_signal_receiver``."""
+        return _receive_signals(self._world.current)
 
     def make_http_server(self, app: t.Any, address: str, drain: float):
-        """Stand in for ``httpserver.HttpServer``."""
+        """Replace ``httpserver.HttpServer``."""
         return HttpServer(self._world.current, app, address, drain)
 
     def make_grpc_server(self, servicers: list[t.Any], **_options: t.Any):
-        """Stand in for ``grpclib.server.Server``."""
+        """Replace ``grpclib.server.Server``."""
         return GrpcServer(self._world.current, servicers)
 
     def make_channel(self, host: str, port: int, **_options: t.Any):
-        """Stand in for ``grpclib.client.Channel``."""
+        """Replace ``grpclib.client.Channel``."""
         return Channel(self._world, self._world.current, f'{host}:{port}')
 
     def make_client(self, **options: t.Any) -> httpx.AsyncClient:
-        """Stand in for ``httpx.AsyncClient``."""
+        """Replace ``httpx.AsyncClient``."""
         options.pop('limits', None)
         options['transport'] = Transport(self._world, self._world.current)
         return _REAL_CLIENT(**options)
 
 
 @contextlib.contextmanager
-def _open_signals(process):
+def _receive_signals(process):
     queue: asyncio.Queue = asyncio.Queue()
 
     async def receive():
@@ -56,7 +56,7 @@
 
 
 class HttpServer:
-    """An application that is reachable while its context is open."""
+    """Serves an application while its context is open."""
 
     def __init__(self, process, app, address: str, drain: float) -> None:
         self.address = address
@@ -87,7 +87,7 @@
 
 
 class Transport(httpx.AsyncBaseTransport):
-    """Carries one HTTP request to the process that listens."""
+    """Delivers HTTP requests to the process that listens."""
 
     def __init__(self, world, process) -> None:
         self._world = world
@@ -96,9 +96,9 @@
     async def handle_async_request(
         self, request: httpx.Request
     ) -> httpx.Response:
-        """Carry a request there and its answer back, or lose either."""
+        """Deliver a request and its response; a cut link loses them."""
         body = await request.aread()
-        limits = request.extensions.get('timeout', {})
+        timeouts = request.extensions.get('timeout', {})
         address = f'{request.url.host}:{request.url.port or 80}'
         target = self._world.find(address)
         if target is None:
@@ -110,7 +110,7 @@
         future = self._process.loop.create_future()
         self._send(target, future, address, copy)
         try:
-            with anyio.fail_after(limits.get('read')):
+            with anyio.fail_after(timeouts.get('read')):
                 status, headers, content = await future
         except TimeoutError as error:
             raise httpx.ReadTimeout('timeout', request=request) from error
@@ -124,29 +124,29 @@
             app = target.apps.get(address)
             if app is not None:
                 target.loop.create_task(
-                    self._answer(target, app, request, future)
+                    self._respond(target, app, request, future)
                 )
 
         target.loop.call_later(LATENCY, start)
 
-    async def _answer(self, target, app, request, future) -> None:
-        inner = httpx.ASGITransport(app, raise_app_exceptions=False)
-        answer = await inner.handle_async_request(request)
-        content = await answer.aread()
-        found = (answer.status_code, answer.headers, content)
+    async def _respond(self, target, app, request, future) -> None:
+        transport = httpx.ASGITransport(app, raise_app_exceptions=False)
+        response = await transport.handle_async_request(request)
+        content = await response.aread()
+        result = (response.status_code, response.headers, content)
         source = self._process
         if source.dead or self._world.is_cut(source.name, target.name):
             return
 
         def finish() -> None:
             if not future.done():
-                future.set_result(found)
+                future.set_result(result)
 
         source.loop.call_later(LATENCY, finish)
 
 
 class GrpcServer:
-    """Handlers that are reachable until the server is closed."""
+    """Serves handlers until it is closed."""
 
     def __init__(self, process, servicers: list[t.Any]) -> None:
         self._process = process
@@ -161,18 +161,18 @@
         self._process.handlers[sock] = self._mapping
 
     def close(self) -> None:
-        """Listen no more and break what is open."""
+        """Stop listening and break all open streams."""
         self._process.handlers.pop(self._address, None)
         for stream in list(self._process.streams):
             if stream.is_server:
                 stream.break_both()
 
     async def wait_closed(self) -> None:
-        """Return at once."""
+        """Return immediately."""
 
 
 class Channel:
-    """A connection to one address; it may go silent for good."""
+    """A connection to one address; ``silent`` drops its messages."""
 
     def __init__(self, world, process, address: str) -> None:
         self.silent = False
@@ -184,11 +184,11 @@
 
     @property
     def ends(self) -> tuple[str, str]:
-        """The caller's name and the address."""
+        """The name of the client process, and the address."""
         return self._process.name, self._address
 
     async def __connect__(self) -> None:
-        """Connect, or fail as a connection does."""
+        """Connect; fail if nothing listens, or hang on a cut link."""
         target = self._world.find(self._address)
         await anyio.sleep(LATENCY)
         if target is None or self._address not in target.handlers:
@@ -213,16 +213,18 @@
         if target is None or self._address not in target.handlers:
             await anyio.sleep(LATENCY)
             raise ConnectionRefusedError(self._address)
-        near = Stream(self._world, self, self._process, reply_type, False)
-        far = Stream(self._world, self, target, request_type, True)
-        near.peer, far.peer = far, near
-        self._streams.add(near)
-        near.transmit(lambda: far.start(self._address, name))
+        client_end = Stream(
+            self._world, self, self._process, reply_type, False
+        )
+        server_end = Stream(self._world, self, target, request_type, True)
+        client_end.peer, server_end.peer = server_end, client_end
+        self._streams.add(client_end)
+        client_end.transmit(lambda: server_end.start(self._address, name))
         try:
-            yield near
+            yield client_end
         finally:
-            self._streams.discard(near)
-            near.leave()
+            self._streams.discard(client_end)
+            client_end.leave()
 
     def close(self) -> None:
         """Break every stream on this connection."""
@@ -256,11 +258,11 @@
         await asyncio.sleep(0)
 
     async def end(self) -> None:
-        """Say that no more messages follow."""
+        """Signal that no more messages follow."""
         self.transmit(lambda: self.peer.deliver(None))
 
     async def recv_message(self):
-        """Return the next message; nothing after the last."""
+        """Return the next message, or None after the last."""
         self._check()
         data = await self._inbox.get()
         if isinstance(data, Exception):
@@ -272,7 +274,7 @@
             yield message
 
     def transmit(self, action: t.Callable[[], None]) -> None:
-        """Run an action at the other end, unless it gets lost."""
+        """Run an action at the other end, unless it is lost."""
         target = self.peer._process
         lost = self._channel.silent or self._world.is_cut(
             self._process.name, target.name
@@ -282,12 +284,12 @@
             target.loop.call_later(LATENCY, self._arrive)
 
     def _arrive(self) -> None:
-        # Timers of one moment fire in no certain order; the queue keeps
-        # the order in which a connection carries its bytes.
+        # Timers that are due at the same time fire in no defined order; the
+        # queue preserves the order of the bytes on a connection.
         self._outgoing.popleft()()
 
     def start(self, address: str, name: str) -> None:
-        """Begin to handle the call, at the server's end."""
+        """Start handling the call at the server's end."""
         handler = self._process.handlers.get(address, {}).get(name)
         if handler is None:
             self.break_peer()
@@ -301,25 +303,25 @@
         except (OSError, grpclib.exceptions.StreamTerminatedError):
             pass
         except Exception as error:
-            problem = grpclib.exceptions.GRPCError(
+            grpc_error = grpclib.exceptions.GRPCError(
                 grpclib.const.Status.UNKNOWN, repr(error)
             )
-            self.transmit(lambda: self.peer.deliver(problem))
+            self.transmit(lambda: self.peer.deliver(grpc_error))
             raise
         finally:
             self._process.streams.discard(self)
 
     def deliver(self, data) -> None:
-        """Put what arrived before the reader."""
+        """Queue an arrived message for the reader."""
         self._inbox.put_nowait(data)
 
     def leave(self) -> None:
-        """Tell the server that its caller has gone."""
+        """Notify the server that its client has gone."""
         self._process.streams.discard(self)
         self.transmit(self.peer.cancel)
 
     def cancel(self) -> None:
-        """End the handler, as grpclib does when its caller has gone."""
+        """Cancel the handler, as grpclib does when its client has gone."""
         if self._task is not None and not self._task.done():
             self._task.cancel()
 
@@ -327,15 +329,15 @@
         """Break the other end."""
         peer = self.peer
         if not peer._process.dead:
-            peer._process.loop.call_later(LATENCY, peer.be_broken)
+            peer._process.loop.call_later(LATENCY, peer.mark_broken)
 
     def break_both(self) -> None:
         """Break both ends."""
         self.break_peer()
-        self.be_broken()
+        self.mark_broken()
 
-    def be_broken(self) -> None:
-        """Fail every later call of this end."""
+    def mark_broken(self) -> None:
+        """Fail pending and later calls at this end."""
         self._broken = True
         self._inbox.put_nowait(
             grpclib.exceptions.StreamTerminatedError('connection lost')
--- a/standins/virtual/world.py
+++ b/standins/virtual/world.py
@@ -1,4 +1,4 @@
-"""A world of processes that talk through a virtual network."""
+"""Simulation of processes that communicate by a simulated network."""
 
 import collections
 import contextlib
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass
 class Process:
-    """One process: its loop, what it listens on, and its state."""
+    """A simulated process: its event loop, listeners and state."""
 
     name: str
     loop: loops.Loop
@@ -46,7 +46,7 @@
 
 
 class World:
-    """Owns all processes; use inside ``with``."""
+    """Runs all simulated processes; use with ``with``."""
 
     def __init__(self, seed: int = 0) -> None:
         self.clock = loops.Clock()
@@ -63,12 +63,12 @@
 
     def __exit__(self, *exc_info: object) -> None:
         for process in self.processes.values():
-            self._abandon(process)
+            self._close_loop(process)
 
     def start(
         self, name: str, main: t.Callable[..., t.Awaitable], *arguments: t.Any
     ) -> Process:
-        """Start a process; an earlier one of the name must be dead."""
+        """Start a process; an earlier one of that name must be dead."""
         process = Process(name, loops.Loop(self.clock))
         self.processes[name] = process
         with self._patched():
@@ -83,16 +83,16 @@
         return await main(*arguments)
 
     def kill(self, name: str) -> None:
-        """End a process at once; its peers see their streams break."""
+        """End a process immediately; its streams break at their peers."""
         process = self.processes[name]
         if process.dead:
             return
         process.dead = True
         for stream in list(process.streams):
             stream.break_peer()
-        self._abandon(process)
+        self._close_loop(process)
 
-    def _abandon(self, process: Process) -> None:
+    def _close_loop(self, process: Process) -> None:
         process.dead = True
         if not process.loop.is_closed():
             process.loop._ready.clear()
@@ -102,11 +102,11 @@
     def terminate(self, name: str) -> None:
         """Send SIGTERM."""
         process = self.processes[name]
-        for wake in process.signals:
-            process.loop.call_soon(wake)
+        for notify in process.signals:
+            process.loop.call_soon(notify)
 
     def freeze(self, name: str, frozen: bool = True) -> None:
-        """Stop a process like SIGSTOP, or let it go on."""
+        """Suspend a process as SIGSTOP does, or resume it."""
         self.processes[name].frozen = frozen
 
     def find(self, address: str) -> Process | None:
@@ -118,37 +118,39 @@
         return None
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether two processes can't reach each other."""
+        """Whether the link between two processes is cut."""
         return frozenset((one, other)) in self.cut
 
     def run_for(self, seconds: float) -> None:
-        """Let the world run for some virtual time."""
+        """Run all processes for some virtual time."""
         self.run_until(lambda: False, seconds)
 
     def run_until(
         self, condition: t.Callable[[], bool], seconds: float
     ) -> bool:
-        """Let the world run until a condition holds, or time is over."""
+        """Run until a condition holds, for at most some virtual time."""
         end = self.clock.now + seconds
         with self._patched():
             for _ in range(_MAX_ROUNDS):
                 if condition():
                     return True
-                if not self._run_ready() and not self._move_clock(end):
+                if not self._run_ready() and not self._advance_clock(end):
                     return condition()
-        raise RuntimeError('the world never comes to rest')
+        raise RuntimeError('simulation exceeded the maximum number of rounds')
 
     def call(self, coroutine: t.Callable[..., t.Awaitable], *arguments):
-        """Run a coroutine in the client's process to its end."""
+        """Run a coroutine in the client process and return its result."""
         client = self.processes['client']
         with self._patched():
             task = client.loop.create_task(coroutine(*arguments))
         if not self.run_until(task.done, 600):
-            raise RuntimeError('the call does not end')
+            raise RuntimeError(
+                'call did not finish within 600 s of virtual time'
+            )
         return task.result()
 
     def spawn(self, coroutine: t.Callable[..., t.Awaitable], *arguments):
-        """Start a coroutine in the client's process."""
+        """Start a coroutine in the client process."""
         with self._patched():
             return self.processes['client'].loop.create_task(
                 coroutine(*arguments)
@@ -167,7 +169,7 @@
                 ran = True
         return ran
 
-    def _move_clock(self, end: float) -> bool:
+    def _advance_clock(self, end: float) -> bool:
         times = [
             process.loop.next_time()
             for process in self.processes.values()
@@ -180,7 +182,7 @@
         self.clock.now = max(self.clock.now, due)
         return True
 
-    def _note_event(self, event: str, **fields: object) -> None:
+    def _record_event(self, event: str, **fields: object) -> None:
         process = self.current
         line = logs.format_line(
             {
@@ -194,12 +196,12 @@
         self.events.append(logs.parse_line(line))
 
     def select(self, event: str, **fields: str) -> list[dict[str, str]]:
-        """Return the logged events of one kind with these fields."""
+        """Return the logged events of this name with these fields."""
         return [
-            found
-            for found in self.events
-            if found['event'] == event
-            and all(found.get(k) == v for k, v in fields.items())
+            logged
+            for logged in self.events
+            if logged['event'] == event
+            and all(logged.get(k) == v for k, v in fields.items())
         ]
 
     @contextlib.contextmanager
@@ -216,8 +218,8 @@
             (grpclib.server, 'Server', fakes.make_grpc_server),
             (grpclib.client, 'Channel', fakes.make_channel),
             (httpx, 'AsyncClient', fakes.make_client),
-            (logs, 'write_event', self._note_event),
-            (logs, 'write_warning', self._note_event),
+            (logs, 'write_event', self._record_event),
+            (logs, 'write_warning', self._record_event),
         ]
         with contextlib.ExitStack() as stack:
             for owner, name, fake in replacements:
@@ -231,4 +233,4 @@
 
     def count_events(self) -> collections.Counter[str]:
         """Return how often each event was logged."""
-        return collections.Counter(found['event'] for found in self.events)
+        return collections.Counter(logged['event'] for logged in self.events)
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,18 +1,18 @@
 """Worker stand-in: ``python -m standins.worker``.
 
-Runs tasks under leases: a task whose lease lapses is stopped by the
-worker itself, with a checkpoint. ``GET /record`` returns every start
-and end that the worker has seen; tests hold promises against it. Its
-``at`` is when the worker saw the event, ``until`` when the lease ended:
-nothing is done for a task after that, also if the worker was frozen.
-``POST /evict`` ends a task with a checkpoint, as for lack of room.
-
-A start that was asked about before it arrived is barred, for as long
-as it could still be valid. Ended attempts are kept until the holder has
-acknowledged them.
-
-A payload is JSON: ``seconds`` that the task runs (absent: until it is
-stopped), ``fail`` for a task that always fails.
+Runs tasks under leases: the worker itself stops a task whose lease
+lapses, with a checkpoint. ``GET /record`` returns every start and end
+that the worker observed; tests check invariants against it. ``at`` is
+when the worker observed the event, ``until`` when the lease ended: no
+work is done for a task after that, even if the worker was frozen.
+``POST /evict`` ends a task with a checkpoint, as for lack of capacity.
+
+An attempt that is renewed or stopped before its start arrived is barred
+for as long as that start could still be valid. Ended attempts are
+retained until the holder has acknowledged them.
+
+A payload is JSON: ``seconds`` is the duration of the task (absent: until
+it is stopped), ``fail`` makes it always fail.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 from standins import serving
 from standins import usage
 
-_TICK = 0.02
+_TICK_SECONDS = 0.02
 
 
 @dataclasses.dataclass
@@ -54,7 +54,7 @@
     resumed: str = ''
 
     def describe(self) -> dict:
-        """Return the interface's form."""
+        """Return the fields that the worker's interface reports."""
         names = (
             'task attempt partition phase cores memory_gb accelerators '
             'workload answer checkpoint'
@@ -63,7 +63,7 @@
 
 
 class WorkerServer:
-    """Holds an instance's tasks and serves the worker's interface."""
+    """Runs an instance's tasks and serves the worker's interface."""
 
     def __init__(
         self, cores: float, memory_gb: float, accelerators: int
@@ -77,7 +77,7 @@
         self._incarnation = ''
         self._runs: dict[str, Run] = {}
         self._record: list[dict] = []
-        self._broken = False
+        self._fail_all = False
         self._usage = usage.UsageReports()
         self._epochs: dict[int, int] = {}
         self._bars: dict[tuple[str, int], float] = {}
@@ -89,7 +89,7 @@
                 routing.Route('/v1/start', self._start, methods=['POST']),
                 routing.Route('/v1/renew', self._renew, methods=['POST']),
                 routing.Route('/v1/stop', self._stop, methods=['POST']),
-                routing.Route('/v1/usage', self._report, methods=['POST']),
+                routing.Route('/v1/usage', self._list_usage, methods=['POST']),
                 routing.Route(
                     '/v1/throttle', self._throttle, methods=['POST']
                 ),
@@ -100,18 +100,18 @@
         )
 
     async def run_tasks(self) -> None:
-        """Let tasks progress, end, and lapse."""
-        before = time.monotonic()
+        """Advance tasks, and end those that are done or have lapsed."""
+        previous = time.monotonic()
         while True:
-            await anyio.sleep(_TICK)
+            await anyio.sleep(_TICK_SECONDS)
             now = time.monotonic()
             for run in self._runs.values():
                 if run.phase == 'active':
-                    self._advance(run, now, now - before)
-            self._usage.measure(self._runs.values(), now, now - before)
-            before = now
-            over = [key for key, until in self._bars.items() if until < now]
-            for key in over:
+                    self._advance(run, now, now - previous)
+            self._usage.measure(self._runs.values(), now, now - previous)
+            previous = now
+            expired = [key for key, until in self._bars.items() if until < now]
+            for key in expired:
                 del self._bars[key]
 
     def _advance(self, run: Run, now: float, elapsed: float) -> None:
@@ -129,9 +129,9 @@
         run.phase = phase
         if phase == 'evicted':
             run.checkpoint = json.dumps({'remaining': run.remaining})
-        self._note(run, phase, reason)
+        self._record_event(run, phase, reason)
 
-    def _note(self, run: Run, event: str, reason: str) -> None:
+    def _record_event(self, run: Run, event: str, reason: str) -> None:
         fields = {
             'task': run.task,
             'attempt': run.attempt,
@@ -155,13 +155,15 @@
     def _note_epoch(self, partition: int, epoch: int) -> None:
         self._epochs[partition] = max(self._epochs.get(partition, 0), epoch)
 
-    def _find_usurped(self, body: dict) -> responses.Response | None:
+    def _find_incarnation_refusal(
+        self, body: dict
+    ) -> responses.Response | None:
         if body['incarnation'] != self._incarnation:
             return self._refuse('incarnation', 'another sidecar took over')
         return None
 
     def _find_refusal(self, body: dict) -> responses.Response | None:
-        if refusal := self._find_usurped(body):
+        if refusal := self._find_incarnation_refusal(body):
             return refusal
         if body['epoch'] < self._epochs.get(body['partition'], 0):
             return self._refuse('epoch', 'a later epoch is known')
@@ -174,10 +176,10 @@
             return 'the attempt is barred'
         if time.monotonic() >= body['until']:
             return 'the lease has lapsed'
-        known = self._runs.get(body['task'])
-        if known and known.phase == 'active':
+        current = self._runs.get(body['task'])
+        if current and current.phase == 'active':
             return 'the task is running'
-        if known and known.attempt >= body['attempt']:
+        if current and current.attempt >= body['attempt']:
             return 'the attempt is not new'
         return ''
 
@@ -190,8 +192,8 @@
             return self._refuse('attempt', reason)
         run = self._make_run(body)
         self._runs[run.task] = run
-        self._note(run, 'started', 'start')
-        if self._broken or run.payload.get('fail'):
+        self._record_event(run, 'started', 'start')
+        if self._fail_all or run.payload.get('fail'):
             run.answer = 'failed'
             self._end(run, 'failed', 'fault')
         return self._respond({})
@@ -231,8 +233,8 @@
         return self._view()
 
     def _extend(self, run: Run, until: float) -> None:
-        # A worker that was frozen may serve this call before it looks
-        # at its tasks; a lease that is over stays over.
+        # A worker that was frozen may serve this call before it checks its
+        # tasks; a lapsed lease must not be extended.
         if run.phase != 'active':
             return
         if time.monotonic() >= run.deadline:
@@ -261,21 +263,21 @@
             self._end(run, phase, 'asked')
         return self._respond({'task': run.describe()})
 
-    async def _report(self, request: requests.Request):
+    async def _list_usage(self, request: requests.Request):
         body = await request.json()
-        if refusal := self._find_usurped(body):
+        if refusal := self._find_incarnation_refusal(body):
             return refusal
         reports = self._usage.list_after(body['after'], time.monotonic())
         return self._respond({'reports': reports})
 
     async def _throttle(self, request: requests.Request):
         body = await request.json()
-        if refusal := self._find_usurped(body):
+        if refusal := self._find_incarnation_refusal(body):
             return refusal
         run = self._runs.get(body['task'])
         if run and run.phase == 'active':
             run.speed = body['speed']
-            self._note(run, 'throttled', str(run.speed))
+            self._record_event(run, 'throttled', str(run.speed))
         return self._respond({})
 
     async def _evict(self, request: requests.Request):
@@ -288,7 +290,7 @@
 
     async def _set_faults(self, request: requests.Request):
         faults = await request.json()
-        self._broken = faults.get('broken', self._broken)
+        self._fail_all = faults.get('broken', self._fail_all)
         self._usage.lag = faults.get('usage_lag', self._usage.lag)
         self._usage.missing = faults.get('usage_missing', self._usage.missing)
         return responses.JSONResponse({})
