--- a/standins/virtual/world.py
+++ b/standins/virtual/world.py
@@ -213,7 +213,7 @@
             (uuid, 'uuid4', self._make_uuid),
             (anyio, 'open_signal_receiver', fakes.open_signal_receiver),
             (addresses, 'bind', str),
-            (addresses, 'name_of', str),
+            (addresses, 'format_address', str),
             (httpserver, 'HttpServer', fakes.make_http_server),
             (grpclib.server, 'Server', fakes.make_grpc_server),
             (grpclib.client, 'Channel', fakes.make_channel),
