--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -142,7 +142,7 @@
         return sorted(self.directory.glob('*.log'))
 
     @property
-    def evidence_files(self) -> list[pathlib.Path]:
+    def system_log_files(self) -> list[pathlib.Path]:
         """The logs of the system's own processes, without stand-ins."""
         return [
             path for path in self.log_files if path.stem not in self._stand_ins
--- a/standins/platform_deployment.py
+++ b/standins/platform_deployment.py
@@ -49,7 +49,7 @@
     return {'spec': payload, 'phases': phases}
 
 
-class Deployed:
+class PlatformDeployment:
     """A store, entries and instances; use with ``async with``."""
 
     def __init__(
@@ -59,26 +59,26 @@
         self.running = deployment.Deployment(directory, *arguments)
         self.entries: dict[str, str] = {}
         # Addresses of the product's own API on the same entries.
-        self.apis: dict[str, str] = {}
+        self.api_addresses: dict[str, str] = {}
         self.runners: dict[str, str] = {}
         self.store = ''
         self.advisor = ''
         # Duration of leases; None leaves the default of each role.
         self.lease_seconds: float | None = None
 
-    async def __aenter__(self) -> 'Deployed':
+    async def __aenter__(self) -> 'PlatformDeployment':
         self._exit_stack = contextlib.AsyncExitStack()
         await self._exit_stack.enter_async_context(self.running)
         self.store = await self.running.start_stand_in(
             'platform_store', 'store'
         )
-        await self.operate('op/config', CONFIGURATION)
+        await self.write_as_operator('op/config', CONFIGURATION)
         return self
 
     async def __aexit__(self, *exc_info: t.Any) -> bool | None:
         return await self._exit_stack.__aexit__(*exc_info)
 
-    async def operate(self, key: str, value: t.Any) -> None:
+    async def write_as_operator(self, key: str, value: t.Any) -> None:
         """Write a key as an operator would."""
         await self._post(f'{self.store}/operator', key=key, value=value)
 
@@ -96,7 +96,7 @@
             **route,
             'advisor': {'decideMs': 5, 'periodMs': 1, 'validMs': 3000},
         }
-        await self.operate(
+        await self.write_as_operator(
             'op/config',
             {**CONFIGURATION, 'version': 2, 'routes': [route_with_advisor]},
         )
@@ -121,7 +121,7 @@
         process = await self.running.start_role('entry', name, sections)
         await process.wait_event('configuration')
         self.entries[name] = process.find('listening')[-1]['http']
-        self.apis[name] = process.find('api-listening')[-1]['http']
+        self.api_addresses[name] = process.find('api-listening')[-1]['http']
         return process
 
     async def start_instance(self, name: str) -> deployment.Process:
@@ -237,7 +237,7 @@
 
 
 def find_overlaps(
-    starts: list[dict[str, t.Any]], kept: bool = False
+    starts: list[dict[str, t.Any]], acknowledged_only: bool = False
 ) -> list[str]:
     """Return the tasks that ran twice concurrently, or again after done.
 
@@ -245,7 +245,7 @@
     ----------
     starts : list of dict
         What ``Deployed.list_starts`` returned.
-    kept : bool
+    acknowledged_only : bool
         Whether a task is done only once its end was acknowledged to the
         agent; an end that is lost in a crash may be followed by a run.
     """
@@ -256,7 +256,7 @@
                 continue
             is_running = not first['ended']
             done = first['how'] == 'done'
-            if kept and not first['acknowledged']:
+            if acknowledged_only and not first['acknowledged']:
                 done = False
             if is_running or second['began'] < first['ended'] or done:
                 overlaps.append(first['task'])
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -78,7 +78,7 @@
 
     A test may leave the store down or slow; the audit then runs without.
     """
-    files = [str(path) for path in running.evidence_files]
+    files = [str(path) for path in running.system_log_files]
     code, output = await running.run_command(
         'audit', '--store', running.store, *files
     )
@@ -122,7 +122,7 @@
     dict
         The verdict of each check.
     """
-    files = [str(path) for path in running.evidence_files]
+    files = [str(path) for path in running.system_log_files]
     code, output = await running.run_command(
         'audit', '--store', running.store, *files
     )
--- a/tests/platform/test_cancelled_jobs.py
+++ b/tests/platform/test_cancelled_jobs.py
@@ -65,8 +65,8 @@
                 late.append((start['task'], round(after, 2), start['how']))
         self.assertEqual([], late)
 
-    def deploy(self) -> deployed.Deployed:
-        return deployed.Deployed(self.make_directory())
+    def deploy(self) -> deployed.PlatformDeployment:
+        return deployed.PlatformDeployment(self.make_directory())
 
     async def test_claims_whose_outcome_is_long_unknown(self):
         """Claims written before a cancel are acted on seconds after it."""
--- a/tests/platform/test_capacity.py
+++ b/tests/platform/test_capacity.py
@@ -38,8 +38,8 @@
     slows down all tasks on the instance.
     """
 
-    def deploy(self) -> deployed.Deployed:
-        return deployed.Deployed(self.make_directory())
+    def deploy(self) -> deployed.PlatformDeployment:
+        return deployed.PlatformDeployment(self.make_directory())
 
     async def start(self, running, *names):
         await running.start_entry('entry-1')
--- a/tests/platform/test_crash_bounds.py
+++ b/tests/platform/test_crash_bounds.py
@@ -18,7 +18,9 @@
         self, instances, bad_count, harmless_count, down_seconds=0.2
     ):
         """Submit bad and harmless jobs together; check starts and ends."""
-        async with deployed.Deployed(self.make_directory()) as running:
+        async with deployed.PlatformDeployment(
+            self.make_directory()
+        ) as running:
             await running.start_entry('entry-1')
             for number in range(instances):
                 await running.start_instance(f'side-{number}')
--- a/tests/platform/test_crashing_tasks.py
+++ b/tests/platform/test_crashing_tasks.py
@@ -30,8 +30,8 @@
         run-lost reason=boot-over, placed again          3.3 s later
     """
 
-    def deploy(self) -> deployed.Deployed:
-        return deployed.Deployed(self.make_directory())
+    def deploy(self) -> deployed.PlatformDeployment:
+        return deployed.PlatformDeployment(self.make_directory())
 
     async def start(self, running):
         for name in ('entry-1', 'entry-2'):
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -13,8 +13,8 @@
 class PlatformProcessesTest(base.TestCase):
     """Real processes with stand-ins for the platform's services."""
 
-    def deploy(self) -> deployed.Deployed:
-        return deployed.Deployed(self.make_directory())
+    def deploy(self) -> deployed.PlatformDeployment:
+        return deployed.PlatformDeployment(self.make_directory())
 
     async def assert_no_overlap(self, running):
         starts = await running.list_starts()
@@ -447,11 +447,13 @@
         async with self.deploy() as running:
             entry = await running.start_entry('entry-1')
             changed = {**deployed.CONFIGURATION, 'version': 5, 'routes': []}
-            await running.operate('op/config', changed)
+            await running.write_as_operator('op/config', changed)
             await entry.wait_event('configuration', version='5', seconds=2)
             answer = await running.call('entry-1', 'GET')
             self.assertEqual(404, answer.status_code)
-            await running.operate('op/config', deployed.CONFIGURATION)
+            await running.write_as_operator(
+                'op/config', deployed.CONFIGURATION
+            )
             await anyio.sleep(1.0)
             answer = await running.call('entry-1', 'GET')
             self.assertEqual(404, answer.status_code)
--- a/tests/platform/test_standstills.py
+++ b/tests/platform/test_standstills.py
@@ -27,7 +27,9 @@
             await anyio.sleep(LEASE_SECONDS)
 
     async def check_starts(self, name):
-        async with deployed.Deployed(self.make_directory()) as running:
+        async with deployed.PlatformDeployment(
+            self.make_directory()
+        ) as running:
             running.lease_seconds = LEASE_SECONDS
             await running.start_entry('entry-1')
             await running.start_instance('side-1')
@@ -45,7 +47,9 @@
         await self.check_starts('side-1')
 
     async def test_a_read_outlasts_a_silence_of_half_its_callers_time(self):
-        async with deployed.Deployed(self.make_directory()) as running:
+        async with deployed.PlatformDeployment(
+            self.make_directory()
+        ) as running:
             await running.start_entry('entry-1')
             await running.set_faults(running.store, down='silent')
             async with anyio.create_task_group() as group:
--- a/tests/platform/test_stopping_entry.py
+++ b/tests/platform/test_stopping_entry.py
@@ -20,7 +20,9 @@
         It arrived while the entry was stopping, and waited for a silent
         store for longer than the entry had left to run.
         """
-        async with deployed.Deployed(self.make_directory()) as running:
+        async with deployed.PlatformDeployment(
+            self.make_directory()
+        ) as running:
             process = await running.start_entry('entry-1')
             statuses = []
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -56,7 +56,9 @@
     """Checks that a soak detects violations."""
 
     def find_overlapping(self, *starts):
-        return platform_deployment.find_overlaps(list(starts), kept=True)
+        return platform_deployment.find_overlaps(
+            list(starts), acknowledged_only=True
+        )
 
     def test_overlapping_runs_are_detected(self):
         first = make_start('a', 1.0, 3.0, 'stopped')
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -214,7 +214,7 @@
 
     async def audit(self) -> str:
         """Run the ``audit`` command on the evidence."""
-        files = [str(path) for path in self._running.evidence_files]
+        files = [str(path) for path in self._running.system_log_files]
         code, output = await self._running.run_command(
             'audit', '--store', self._running.store, *files
         )
--- a/tools/demo_jobs.py
+++ b/tools/demo_jobs.py
@@ -46,7 +46,9 @@
         self.phases: collections.Counter[str] = collections.Counter()
         self.violations: collections.Counter[str] = collections.Counter()
         directory.mkdir()
-        self._running = platform_deployment.Deployed(directory, program)
+        self._running = platform_deployment.PlatformDeployment(
+            directory, program
+        )
 
     async def run(self) -> None:
         """Start all processes, submit the jobs and wait until they end."""
--- a/tools/soaking/site.py
+++ b/tools/soaking/site.py
@@ -11,7 +11,7 @@
 LEASE_SECONDS = 2.5
 
 
-class Site(platform_deployment.Deployed):
+class Site(platform_deployment.PlatformDeployment):
     """Entries and sidecars with proxied links to the store or worker.
 
     Attributes
@@ -58,7 +58,7 @@
             'name': 'idle',
             'prefix': f'/idle-{self._configuration_version}/',
         }
-        await self.operate(
+        await self.write_as_operator(
             'op/config',
             {
                 **platform_deployment.CONFIGURATION,
--- a/tools/soaking/trial.py
+++ b/tools/soaking/trial.py
@@ -174,7 +174,9 @@
         report = self._report
         report.jobs = len(self._callers.jobs)
         report.starts = len(starts)
-        for task in platform_deployment.find_overlaps(starts, kept=True):
+        for task in platform_deployment.find_overlaps(
+            starts, acknowledged_only=True
+        ):
             report.violations.append(f'{task}: duplicate run')
         started = {start['task'].partition('.')[0] for start in starts}
         for job in self._callers.jobs:
