--- a/standins/platform_deployment.py
+++ b/standins/platform_deployment.py
@@ -59,7 +59,7 @@
         self.running = deployment.Deployment(directory, *arguments)
         self.entries: dict[str, str] = {}
         # Addresses of the product's own API on the same entries.
-        self.api_addresses: dict[str, str] = {}
+        self.api_hosts: dict[str, str] = {}
         self.runners: dict[str, str] = {}
         self.store = ''
         self.advisor = ''
@@ -121,7 +121,7 @@
         process = await self.running.start_role('entry', name, sections)
         await process.wait_event('configuration')
         self.entries[name] = process.find('listening')[-1]['http']
-        self.api_addresses[name] = process.find('api-listening')[-1]['http']
+        self.api_hosts[name] = process.find('api-listening')[-1]['http']
         return process
 
     async def start_instance(self, name: str) -> deployment.Process:
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -112,7 +112,7 @@
             client = running.running.client
             body = deployed.make_body(1)
             await running.call('entry-1', 'POST', IDS[0], body)
-            url = f'http://{running.apis["entry-1"]}/v1/queues/builds'
+            url = f'http://{running.api_hosts["entry-1"]}/v1/queues/builds'
             with anyio.fail_after(20):
                 phase = ''
                 while phase != 'complete':
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 
 class GuardsTest(base.TestCase):
     def test_each_guard_pattern_occurs_exactly_once(self):
-        self.assertEqual([], guards.find_misfits(ROOT))
+        self.assertEqual([], guards.find_mismatches(ROOT))
 
     def test_each_guard_has_a_unique_name_and_existing_tests(self):
         names = [guard.name for guard in guards.ALL_GUARDS]
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -18,7 +18,7 @@
     arrival_load = {'quick_load': 0.6, 'batch_load': 0.6, **load}
     return colocation.World(
         machines.TALLOWFORD,
-        interfering.Truth(INTERFERENCE),
+        interfering.TrueInterference(INTERFERENCE),
         colocation.Load(quick=LATENCY_CRITICAL, batch=BATCH, **arrival_load),
         colocation.Reporting(),
         baselines.POLICIES[policy],
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -79,7 +79,7 @@
         )
 
     def test_tasks_spread_over_a_part_of_the_instances(self):
-        fleet = slope_sizes.Fleet()
+        fleet = slope_sizes.DesignSize()
         self.assertLess(fleet.spread, fleet.workers)
         self.assertGreater(fleet.spread, fleet.workers / 2)
 
@@ -118,7 +118,9 @@
         self.patch(slope_series, 'SETTLE_SECONDS', 0.0)
         plan = slope_series.Plan(pathlib.Path())
         bench = FakeBench()
-        samples = await slope_series._load(bench, plan, 5, 'a', 'b')
+        samples = await slope_series._measure_under_load(
+            bench, plan, 5, 'a', 'b'
+        )
         self.assertEqual({'a', 'b'}, set(samples))
 
     def test_the_measured_catalogue_is_valid(self):
--- a/tools/demo_jobs.py
+++ b/tools/demo_jobs.py
@@ -99,7 +99,7 @@
         entry: str = 'entry-1',
     ) -> t.Any:
         running = self._running
-        url = f'http://{running.apis[entry]}/v1/queues/{_QUEUE}/jobs/{id}'
+        url = f'http://{running.api_hosts[entry]}/v1/queues/{_QUEUE}/jobs/{id}'
         answer = await running.running.client.request(method, url, json=body)
         answer.raise_for_status()
         return answer
