--- a/src/persimmonsail/decisions/intake.py
+++ b/src/persimmonsail/decisions/intake.py
@@ -23,9 +23,9 @@
 
     Parameters
     ----------
-    fleet : persimmonsail.fleet.Fleet
+    fleet : persimmonsail.decisions.fleet.Fleet
         The entry's view of instances.
-    learned : persimmonsail.planner.Knowledge
+    learned : persimmonsail.decisions.planner.LearnedState
         The entry's learned state.
     generator : random.Random
         Adds jitter to the retry times of rejected callers.
--- a/src/persimmonsail/decisions/ladder.py
+++ b/src/persimmonsail/decisions/ladder.py
@@ -143,9 +143,9 @@
 
     Parameters
     ----------
-    estimator : persimmonsail.interference.Estimator
+    estimator : persimmonsail.decisions.interference.Estimator
         Predicts slowdowns.
-    weights : persimmonsail.objectives.Objectives
+    weights : persimmonsail.decisions.objectives.Objectives
         The owners' objectives, which determine the thresholds.
     budget : EvictionBudget
         Shared between all instances.
--- a/src/persimmonsail/decisions/shedding.py
+++ b/src/persimmonsail/decisions/shedding.py
@@ -228,7 +228,7 @@
 
     Parameters
     ----------
-    fleet : persimmonsail.fleet.Fleet
+    fleet : persimmonsail.decisions.fleet.Fleet
         The entry's view of instances.
     generator : random.Random
         Adds jitter to the retry times of rejected callers.
--- a/src/persimmonsail/decisions/usage.py
+++ b/src/persimmonsail/decisions/usage.py
@@ -117,7 +117,7 @@
     ----------
     cores : float
         The instance's processors.
-    horizon : float, optional
+    history_seconds : float, optional
         Seconds for which history is retained.
     """
 
--- a/src/persimmonsail/jobs/fleet.py
+++ b/src/persimmonsail/jobs/fleet.py
@@ -245,8 +245,8 @@
             for member in broken.job.list_gang(broken):
                 if member.is_placed:
                     self.stop_task(member)
-        for recalled in self._reader.pop_superseded_tasks():
-            self.stop_task(recalled)
+        for superseded in self._reader.pop_superseded_tasks():
+            self.stop_task(superseded)
 
     def _evict(
         self, instance: instances.Instance, run: instances.Run, reason: str
--- a/src/persimmonsail/jobs/reports.py
+++ b/src/persimmonsail/jobs/reports.py
@@ -154,9 +154,9 @@
 
     def pop_superseded_tasks(self) -> list[job_module.Task]:
         """Return the tasks whose run became unneeded since the last call."""
-        recalled = self._board.superseded_tasks
+        superseded = self._board.superseded_tasks
         self._board.superseded_tasks = []
-        return recalled
+        return superseded
 
     def is_last_placed(self, run: instances.Run) -> bool:
         """Return whether no other task of a run's job is placed."""
--- a/src/persimmonsail/partitioning/peers.py
+++ b/src/persimmonsail/partitioning/peers.py
@@ -44,7 +44,7 @@
     ----------
     settings : persimmonsail.settings.Settings
         This process's settings.
-    view : persimmonsail.revisions.View
+    view : persimmonsail.catalogues.revisions.View
         The view to keep up to date.
     links : persimmonsail.links.Links
         The links for outgoing calls.
